--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -21,7 +21,7 @@
 from irisshelf.gateway.knowledge import datagrams
 from irisshelf.gateway.knowledge import fact_gossip
 from irisshelf.gateway.knowledge import follower
-from irisshelf.gateway.knowledge import neighbours
+from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.gateway.knowledge import store_updates
 from irisshelf.gateway.requests import front
 from irisshelf.observe import decision_log
@@ -78,7 +78,7 @@
             log=self._log,
             rng=random.Random(),
         )
-        self._neighbours = neighbours.Neighbours(
+        self._peers = peer_discovery.PeerDiscovery(
             own=roster.Member(
                 name=cfg.instance,
                 address=cfg.listen.peers,
@@ -87,10 +87,10 @@
             ),
             seeds=cfg.seeds,
             log=self._log,
-            on_members=self._take_members,
+            on_peer_count=self._take_members,
         )
         self._members = data_centre.Members(
-            roster=self._neighbours.roster,
+            roster=self._peers.membership,
             alone=not cfg.seeds,
             began_s=self._inst.now(),
         )
@@ -101,21 +101,21 @@
         self._crash_news = crash_gossip.CrashGossip(
             crashes=self._inst.crashes,
             datagrams=self._datagrams,
-            roster=self._neighbours.roster,
+            membership=self._peers.membership,
             log=self._log,
         )
-        self._neighbours.answer_with(
-            crash_gossip.ALL_PATH, self._crash_news.all
+        self._peers.register_handler(
+            crash_gossip.SNAPSHOT_PATH, self._crash_news.snapshot
         )
         self._follower = follower.Follower(
             inst=self._inst,
             store=make_store(cfg.store),
-            updates=store_updates.Updates(
+            updates=store_updates.StoreUpdates(
                 datagrams=self._datagrams,
-                roster=self._neighbours.roster,
+                membership=self._peers.membership,
                 log=self._log,
             ),
-            neighbours=self._neighbours,
+            peers=self._peers,
         )
         self._front = front.Front(inst=self._inst)
         self._listeners = [
@@ -124,9 +124,7 @@
             ),
             self._listener(cfg.listen.ready, _admin_limits, self._ready),
             self._listener(cfg.listen.metrics, _admin_limits, self._metrics),
-            self._listener(
-                cfg.listen.peers, _admin_limits, self._neighbours.handle
-            ),
+            self._listener(cfg.listen.peers, _admin_limits, self._peers.handle),
         ]
 
     def run(self) -> None:
@@ -148,10 +146,10 @@
             gevent.spawn(self._follower.run, table)
         gevent.spawn(self._follower.expire_lapsed)
         gevent.spawn(self._watch_settings)
-        gevent.spawn(self._neighbours.run)
+        gevent.spawn(self._peers.run)
         gevent.spawn(
             self._crash_news.catch_up,
-            lambda: self._neighbours.ask_any(crash_gossip.ALL_PATH),
+            lambda: self._peers.request_any(crash_gossip.SNAPSHOT_PATH),
         )
         cfg = self._inst.cfg
         self._log.instance(
@@ -166,11 +164,11 @@
     def _start_gossip(self) -> None:
         gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
-            roster=self._neighbours.roster,
+            membership=self._peers.membership,
             on_fact=self._inst.servers.heard_fact,
             rng=self._inst.rng,
         )
-        self._inst.servers.tell = gossip.tell
+        self._inst.servers.tell = gossip.publish
         gevent.spawn(gossip.run)
 
     def _take_members(self, others_here: int) -> None:
@@ -204,7 +202,7 @@
         if not self._inst.stopping:
             self._inst.stopping_since_s = self._inst.now()
             self._log.instance("stopping", in_flight=self._inst.in_flight)
-            gevent.spawn(self._neighbours.say_goodbye)
+            gevent.spawn(self._peers.announce_departure)
 
     def _drain(self) -> None:
         """Ends open requests; callers come until the balancer has noticed."""
--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -29,7 +29,7 @@
 
 _KIND = datagrams_module.Kind.CRASHES
 # Where an instance answers ``CrashGossip.all``.
-ALL_PATH = "/crashes"
+SNAPSHOT_PATH = "/crashes"
 _AGAIN_S = 0.4
 # Instances of each other data centre that are told.
 _ABROAD = 3
@@ -58,7 +58,7 @@
     Args:
         crashes: What this instance knows.
         datagrams: Carries messages.
-        roster: The other instances.
+        membership: The other instances.
         log: Takes what cannot be read.
     """
 
@@ -67,18 +67,18 @@
         *,
         crashes: crashes_module.Crashes,
         datagrams: datagrams_module.Datagrams,
-        roster: roster_module.Roster,
+        membership: roster_module.Roster,
         log: decision_log.DecisionLog,
     ):
         self._log = log
         self._crashes = crashes
         self._datagrams = datagrams
-        self._roster = roster
+        self._membership = membership
         crashes.on_end = self._tell_end
         crashes.on_good = self._tell_good
-        datagrams.subscribe(_KIND, self.take)
+        datagrams.subscribe(_KIND, self.receive)
 
-    def take(self, content: Any) -> None:
+    def receive(self, content: Any) -> None:
         """Takes what a datagram holds.
 
         Raises:
@@ -106,7 +106,7 @@
                 return
             gevent.sleep(_CATCH_UP_PAUSE_S)
 
-    def all(self, fields: Mapping[str, str] | None = None) -> bytes:
+    def snapshot(self, fields: Mapping[str, str] | None = None) -> bytes:
         """Returns all that is known, for ``catch_up``.
 
         Args:
@@ -158,15 +158,15 @@
         message.relay = True
         data = _encode(message)
         told: dict[str, int] = {}
-        for member in self._roster.elsewhere(boottime.now()):
+        for member in self._membership.elsewhere(boottime.now()):
             count = told.get(member.data_centre, 0)
             if count < _ABROAD:
                 told[member.data_centre] = count + 1
                 self._datagrams.send(member.address, data)
 
     def _send_home(self, data: bytes) -> None:
-        own = self._roster.own.data_centre
-        for member, _ in self._roster.members(own, boottime.now()):
+        own = self._membership.own.data_centre
+        for member, _ in self._membership.members(own, boottime.now()):
             self._datagrams.send(member.address, data)
 
 
--- a/irisshelf/gateway/knowledge/datagrams.py
+++ b/irisshelf/gateway/knowledge/datagrams.py
@@ -13,7 +13,7 @@
 from irisshelf.observe import decision_log
 
 # One Ethernet frame, less the headers.
-MOST_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 _PAUSE_S = 0.25
 
 
@@ -36,8 +36,8 @@
     def __init__(self, *, address: str, log: decision_log.DecisionLog):
         host, _, port = address.rpartition(":")
         self._log = log
-        self._takers: dict[int, Callable[[Any], None]] = {}
-        self._told: set[int | None] = set()
+        self._handlers: dict[int, Callable[[Any], None]] = {}
+        self._logged_kinds: set[int | None] = set()
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind((host, int(port)))
 
@@ -55,7 +55,7 @@
             taker: Takes the decoded content; raises ValueError or TypeError if
                 it is not what it should be.
         """
-        self._takers[kind] = taker
+        self._handlers[kind] = taker
 
     def send(self, address: str, data: bytes) -> None:
         """Sends what ``encode`` returned; it may be lost."""
@@ -66,31 +66,31 @@
             # As good as lost on the way, which is borne anyway.
             return
 
-    def take(self, data: bytes) -> None:
+    def dispatch(self, data: bytes) -> None:
         """Takes one datagram."""
         kind = data[0] if data else None
-        taker = self._takers.get(kind)
+        taker = self._handlers.get(kind)
         try:
             if taker is None:
                 raise ValueError(f"kind {kind!r}, allowed: {list(Kind)}")
             taker(cbor2.loads(data[1:]))
         except (ValueError, TypeError, cbor2.CBORDecodeError) as exc:
-            if kind not in self._told:
+            if kind not in self._logged_kinds:
                 # Said once a kind: a stranger may send any number of them.
-                self._told.add(kind)
+                self._logged_kinds.add(kind)
                 self._log.problem("news_unreadable", detail=str(exc))
 
     def run(self) -> None:
         """Takes datagrams as long as the process lives."""
         while True:
             try:
-                data, _ = self._sock.recvfrom(MOST_BYTES + 1)
+                data, _ = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError as exc:
                 # A refusal from a port that is closed now; others go on.
                 self._log.problem("news_not_received", detail=str(exc))
                 gevent.sleep(_PAUSE_S)
                 continue
-            self.take(data)
+            self.dispatch(data)
 
 
 def encode(kind: Kind, content: Any) -> bytes:
--- a/irisshelf/gateway/knowledge/fact_gossip.py
+++ b/irisshelf/gateway/knowledge/fact_gossip.py
@@ -123,7 +123,7 @@
         colds = _take(self.colds, _MOST_COLDS)
         pauses = _take(self.pauses, _MOST_PAUSES)
         count = len(loads) + len(colds) + len(pauses)
-        left_bytes = datagrams_module.MOST_BYTES - _HEAD_BYTES
+        left_bytes = datagrams_module.MAX_DATAGRAM_BYTES - _HEAD_BYTES
         left_bytes -= _LOAD_BYTES * count
         holds: dict[bytes, list[bytes]] = {}
         while self.holds and left_bytes >= _PART_BYTES + _SERVER_BYTES:
@@ -150,7 +150,7 @@
 
     Args:
         datagrams: Carries facts.
-        roster: The other instances.
+        membership: The other instances.
         on_fact: Takes what another instance tells.
         rng: Chooses whom to tell in other data centres.
     """
@@ -159,58 +159,60 @@
         self,
         *,
         datagrams: datagrams_module.Datagrams,
-        roster: roster_module.Roster,
+        membership: roster_module.Roster,
         on_fact: Callable[[facts.Fact], None],
         rng: random.Random,
     ):
         self._datagrams = datagrams
-        self._roster = roster
+        self._membership = membership
         self._on_fact = on_fact
         self._rng = rng
         # What comes from the own data centre, and what from elsewhere.
         self._own = _Outbox()
         self._foreign = _Outbox()
-        datagrams.subscribe(datagrams_module.Kind.SERVER_FACTS, self.take)
+        datagrams.subscribe(datagrams_module.Kind.SERVER_FACTS, self.receive)
 
     def run(self) -> None:
         """Sends facts as long as the process lives."""
         while True:
             gevent.sleep(_TICK_S)
-            self.send()
+            self.flush()
 
-    def tell(self, fact: facts.Fact) -> None:
+    def publish(self, fact: facts.Fact) -> None:
         """Takes what this instance has just learnt."""
         self._own.add(fact)
 
-    def send(self) -> None:
+    def flush(self) -> None:
         """Sends the facts taken since the last time, if there are any."""
         now = boottime.now()
-        first = self._roster.first(now)
+        first = self._membership.first(now)
         if first is not None:
             self._send_facts(self._own, _Hop.TO_RELAY, [first])
             # Facts for others that came while this instance was the first.
             self._send_facts(self._foreign, _Hop.FORWARDED, [first])
             return
-        members = self._roster.members(self._roster.own.data_centre, now)
+        members = self._membership.members(
+            self._membership.own.data_centre, now
+        )
         everyone = [member for member, _ in members]
         elsewhere = self._one_elsewhere()
         self._send_facts(self._foreign, _Hop.TO_ALL, everyone)
         self._send_facts(self._own, _Hop.TO_ALL, everyone, abroad=elsewhere)
 
-    def take(self, content: Any) -> None:
+    def receive(self, content: Any) -> None:
         """Takes what a datagram holds.
 
         Raises:
             ValueError: It holds no facts.
         """
         message = msgspec.convert(content, _Message)
-        at_home = message.data_centre == self._roster.own.data_centre
+        at_home = message.data_centre == self._membership.own.data_centre
         told = _decode(message)
         for fact in told:
             self._on_fact(fact)
         if message.hop is _Hop.TO_ALL:
             return
-        first = self._roster.first(boottime.now())
+        first = self._membership.first(boottime.now())
         if first is None:
             outbox = self._own if at_home else self._foreign
             for fact in told:
@@ -229,7 +231,7 @@
     ) -> None:
         if not outbox:
             return
-        message = outbox.take(self._roster.own.data_centre, hop)
+        message = outbox.take(self._membership.own.data_centre, hop)
         data = _encode(message)
         for member in members:
             self._datagrams.send(member.address, data)
@@ -241,7 +243,7 @@
     def _one_elsewhere(self) -> list[roster_module.Member]:
         """Returns one instance of each other data centre."""
         found: dict[str, list[roster_module.Member]] = {}
-        for member in self._roster.elsewhere(boottime.now()):
+        for member in self._membership.elsewhere(boottime.now()):
             found.setdefault(member.data_centre, []).append(member)
         return [self._rng.choice(group) for group in found.values()]
 
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -14,7 +14,7 @@
 from irisshelf.catalog import position as position_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway import instance as instance_module
-from irisshelf.gateway.knowledge import neighbours as neighbours_module
+from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.gateway.knowledge import store_timing
 from irisshelf.gateway.knowledge import store_updates
 from irisshelf.gateway.knowledge import table_relay
@@ -41,7 +41,7 @@
         store: Tables of the shared store.
         updates: Updates between the instances of a data centre; without them
             the store is asked by this instance alone.
-        neighbours: Hand tables on; without them all come from the store.
+        peers: Hand tables on; without them all come from the store.
     """
 
     def __init__(
@@ -49,8 +49,8 @@
         *,
         inst: instance_module.Instance,
         store: feed.Feed,
-        updates: store_updates.Updates | None = None,
-        neighbours: neighbours_module.Neighbours | None = None,
+        updates: store_updates.StoreUpdates | None = None,
+        peers: peer_discovery.PeerDiscovery | None = None,
     ):
         self._inst = inst
         self._store = store
@@ -60,15 +60,15 @@
         self._up.set()
         self._lost_s: float | None = None
         self._updated = {table: event.Event() for table in feed.Table}
-        self.changes_seen = dict.fromkeys(feed.Table, 0)
+        self.change_counts = dict.fromkeys(feed.Table, 0)
         self.tables = tables_module.Tables(inst=inst)
         self._relay: table_relay.TableRelay | None = None
         if updates is not None:
-            updates.subscribe(self.take_update)
-        if neighbours is not None:
+            updates.subscribe(self.apply_update)
+        if peers is not None:
             self._relay = table_relay.TableRelay(
                 inst=inst,
-                neighbours=neighbours,
+                peers=peers,
                 operators=self.tables.operators,
                 as_of=self.tables.as_of,
                 decode=store.decode,
@@ -76,18 +76,18 @@
 
     def run(self, table: feed.Table) -> None:
         """Follows a table as long as the process lives."""
-        self._await_neighbours()
+        self._await_peers()
         failures = 0
         while True:
             if table is not feed.Table.CATALOG:
                 self._up.wait()
-            self._rest_while_told(table)
-            seen = self.changes_seen[table]
+            self._wait_until_due(table)
+            seen = self.change_counts[table]
             self._updated[table].clear()
-            untold = self._is_untold(table)
-            if self.step(table):
+            watcher_silent = self._watcher_is_silent(table)
+            if self.poll_once(table):
                 failures = 0
-                if self.changes_seen[table] != seen:
+                if self.change_counts[table] != seen:
                     gevent.sleep(self._gather_s(table))
                 continue
             reads = self._role() is shared_watch.Role.READER
@@ -95,14 +95,14 @@
             pause_s = backoff_s[min(failures, len(backoff_s) - 1)]
             failures += 1
             pause_s *= self._inst.rng.uniform(*_JITTER)
-            if untold:
+            if watcher_silent:
                 # The watcher's first update says that the store is back; who
                 # sleeps on refuses callers.
                 self._updated[table].wait(pause_s)
             else:
                 gevent.sleep(pause_s)
 
-    def _await_neighbours(self) -> None:
+    def _await_peers(self) -> None:
         """Waits until it shows whether there are many instances.
 
         Where there are, they relay what all would read from the store at
@@ -111,10 +111,10 @@
         if self._relay is None or not self._inst.cfg.seeds:
             return
         until_s = boottime.now() + _FIRST_ANSWER_S
-        while boottime.now() < until_s and not self._updates.knows_others():
+        while boottime.now() < until_s and not self._updates.has_peers():
             gevent.sleep(_FIRST_ANSWER_STEP_S)
 
-    def step(self, table: feed.Table) -> bool:
+    def poll_once(self, table: feed.Table) -> bool:
         """Makes one call; returns whether it was answered."""
         if self._take_relayed(table):
             return True
@@ -146,13 +146,13 @@
         self._failed(table, answer.err_value)
         return False
 
-    def take_update(self, update: shared_watch.Update) -> None:
+    def apply_update(self, update: shared_watch.Update) -> None:
         """Takes what the watcher of the data centre was told."""
         now = boottime.now()
         as_of_s = self._inst.freshness.time_of(
             update.store_s, now, update.position.era
         )
-        verdict = self.tables.told(update, as_of_s, now)
+        verdict = self.tables.apply_update(update, as_of_s, now)
         table = update.table
         self._updated[table].set()
         self._inst.metrics.store_updates.labels(verdict.name.lower()).inc()
@@ -167,7 +167,7 @@
     def _wake_askers(self) -> None:
         """Lets those know who wait for this instance to hand something on."""
         if self._relay is not None:
-            self._relay.changed()
+            self._relay.notify_changed()
 
     def _take_relayed(self, table: feed.Table) -> bool:
         """Takes a whole table from another instance, if one has it.
@@ -176,21 +176,23 @@
         that has just begun. A whole list of servers, packed, is shorter than a
         data centre's changes as the store tells them.
         """
-        wanted = self.tables.take_wanted(table)
+        wanted = self.tables.take_missing(table)
         reads = self._role() is shared_watch.Role.READER
         if self._relay is None or not reads:
             return False
         watch = self.tables.watches[table]
-        begins = self.tables.as_of(table) is None
-        if not begins and wanted is None:
+        starting = self.tables.as_of(table) is None
+        if not starting and wanted is None:
             return False
-        within_s = store_timing.relay_s(self._inst.cfg.bounds, begins=begins)
+        within_s = store_timing.relay_timeout_s(
+            self._inst.cfg.bounds, starting=starting
+        )
         watch.asked()
         relayed = self._relay.fetch(table, wanted, within_s=within_s)
         if relayed is None:
             watch.failed()
             return False
-        taken = self.tables.relayed(table, relayed, boottime.now())
+        taken = self.tables.apply_snapshot(table, relayed, boottime.now())
         self._wake_askers()
         return taken
 
@@ -200,7 +202,7 @@
             return shared_watch.Role.ALONE
         return self._updates.role()
 
-    def _rest_while_told(self, table: feed.Table) -> None:
+    def _wait_until_due(self, table: feed.Table) -> None:
         """Returns when the store has to be asked by this instance."""
         watch = self.tables.watches[table]
         updated = self._updated[table]
@@ -222,7 +224,7 @@
         cfg = self._inst.cfg
         if not cfg.policy.gathering:
             return 0.0
-        pause_s = store_timing.gather_s(table, cfg.bounds, self._role())
+        pause_s = store_timing.coalesce_s(table, cfg.bounds, self._role())
         if table is feed.Table.CATALOG:
             pause_s -= self._inst.freshness.age_s(boottime.now())
         return max(pause_s, 0.0)
@@ -236,7 +238,7 @@
         return self.tables.watches[table].hold_s(
             self._role(),
             store_timing.watch_timing(bounds),
-            alone_s=store_timing.hold_s(table, bounds),
+            alone_s=store_timing.long_poll_s(table, bounds),
             now=now,
         )
 
@@ -257,7 +259,7 @@
         if table is feed.Table.CATALOG:
             self._regained(now)
         before = self._inst.catalog
-        newest = self.tables.answered(table, batch, sent_s, now)
+        newest = self.tables.apply_answer(table, batch, sent_s, now)
         self._wake_askers()
         if not batch.complete:
             # The rest is asked for at once, and nobody is told that this was
@@ -267,7 +269,7 @@
         # others may follow.
         again = batch.whole and table is feed.Table.CATALOG
         if batch.items and not (again and self._inst.catalog is before):
-            self.changes_seen[table] += 1
+            self.change_counts[table] += 1
         if newest and self._role() is shared_watch.Role.WATCHER:
             self._tell(table, batch, now)
 
@@ -295,14 +297,14 @@
 
     def _tell(self, table: feed.Table, batch: feed.Batch, now: float) -> None:
         """Tells the readers what the store has just answered."""
-        update = self.tables.update(table, batch, now)
+        update = self.tables.make_update(table, batch, now)
         if update is not None:
-            self._updates.tell(update)
+            self._updates.broadcast(update)
 
     def _failed(self, table: feed.Table, failure: feed.Unavailable) -> None:
         if self._lost_s is None:
             self._lost_s = boottime.now()
-            self.tables.servers.store_lost()
+            self.tables.servers.on_store_lost()
             self._inst.metrics.store_up.set(0)
             self._inst.log.problem(
                 "store_lost", table=table.value, detail=failure.detail
@@ -317,12 +319,12 @@
 
     def _note_outage(self) -> None:
         """Notes that neither this instance nor its watcher has the store."""
-        if self._is_untold(feed.Table.CATALOG):
+        if self._watcher_is_silent(feed.Table.CATALOG):
             now = boottime.now()
             age_s = self._inst.freshness.age_s(now)
             self._inst.outage_since_s = now - age_s
 
-    def _is_untold(self, table: feed.Table) -> bool:
+    def _watcher_is_silent(self, table: feed.Table) -> bool:
         """Tells whether this instance reads, and its watcher is silent."""
         timing = store_timing.watch_timing(self._inst.cfg.bounds)
         reads = self._role() is shared_watch.Role.READER
@@ -340,4 +342,4 @@
             "store_regained", lost_for_s=round(now - self._lost_s, 3)
         )
         self._lost_s = None
-        self.tables.servers.store_back(now)
+        self.tables.servers.on_store_regained(now)
--- a/irisshelf/gateway/knowledge/operator_state.py
+++ b/irisshelf/gateway/knowledge/operator_state.py
@@ -46,7 +46,7 @@
     def __init__(self, *, inst: instance_module.Instance):
         self._inst = inst
         self.stored_version: int | None = None
-        self.stored: StoredCatalog | None = None
+        self.stored_catalog: StoredCatalog | None = None
 
     @property
     def store_is_behind(self) -> bool:
@@ -62,7 +62,7 @@
         stored = self.stored_version
         return stored is None or stored < catalog.version
 
-    def take(self, batch: feed.Batch, now: float) -> bool:
+    def apply_batch(self, batch: feed.Batch, now: float) -> bool:
         """Takes an answer of the store.
 
         Returns:
@@ -85,7 +85,9 @@
         self._take_evacuations(batch, rows, now)
         return brought and catalog is not None
 
-    def hear(self, update: shared_watch.CatalogUpdate, now: float) -> None:
+    def apply_update(
+        self, update: shared_watch.CatalogUpdate, now: float
+    ) -> None:
         """Takes the evacuations that an update tells."""
         changed = self._inst.evacuations.replace(
             update.evacuated, update.position, now
@@ -97,7 +99,9 @@
         changed = self._inst.evacuations.expire(now)
         self._inst.evacuations_changed(changed)
 
-    def update(self, batch: feed.Batch) -> shared_watch.CatalogUpdate | None:
+    def make_update(
+        self, batch: feed.Batch
+    ) -> shared_watch.CatalogUpdate | None:
         """Returns what readers are told; None if there is nothing to tell."""
         if self.stored_version is None:
             return None
@@ -110,15 +114,18 @@
         )
 
     def _digest(self, version: int) -> bytes:
-        if self.stored is None or self.stored.version != version:
+        if (
+            self.stored_catalog is None
+            or self.stored_catalog.version != version
+        ):
             return b""
-        return self.stored.digest
+        return self.stored_catalog.digest
 
     def _hold(self, item: feed.Item) -> None:
         version = item.value.version
         if item.raw and self._inst.catalog.version == version:
-            self.stored = StoredCatalog(
-                version=version, raw=item.raw, digest=digest_of(item.raw)
+            self.stored_catalog = StoredCatalog(
+                version=version, raw=item.raw, digest=catalog_digest(item.raw)
             )
 
     def _take_evacuations(
@@ -162,6 +169,6 @@
             self.stored_version = catalog.version
 
 
-def digest_of(raw: bytes) -> bytes:
+def catalog_digest(raw: bytes) -> bytes:
     """Returns the digest of a configuration as the store has it."""
     return hashlib.blake2b(raw, digest_size=_DIGEST_BYTES).digest()
--- a/irisshelf/gateway/knowledge/neighbours.py
+++ b/irisshelf/gateway/knowledge/peer_discovery.py
@@ -43,17 +43,17 @@
 _MOST_ASKED = 4
 
 _LinkMbps = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
-Answer = Callable[[Mapping[str, str]], bytes | None]
+Handler = Callable[[Mapping[str, str]], bytes | None]
 
 
-class Neighbours:
+class PeerDiscovery:
     """Knows the other instances, and tells of them.
 
     Args:
         own: This instance.
         seeds: Addresses of instances that may be there at the start.
         log: Takes what cannot be read.
-        on_members: Told how many other instances the data centre has.
+        on_peer_count: Told how many other instances the data centre has.
     """
 
     def __init__(
@@ -62,15 +62,15 @@
         own: roster.Member,
         seeds: tuple[str, ...],
         log: decision_log.DecisionLog,
-        on_members: Callable[[int], None] = lambda count: None,
+        on_peer_count: Callable[[int], None] = lambda count: None,
     ):
-        self.roster = roster.Roster(own=own)
+        self.membership = roster.Roster(own=own)
         self._seeds = tuple(seed for seed in seeds if seed != own.address)
         self._log = log
-        self._on_members = on_members
+        self._on_peer_count = on_peer_count
         self._conns: dict[str, client.Connection] = {}
         self._leaving = False
-        self._answers: dict[str, Answer] = {}
+        self._handlers: dict[str, Handler] = {}
 
     def run(self) -> None:
         """Keeps the list of instances up to date, until this one leaves.
@@ -81,14 +81,17 @@
         pauses_s = iter(_ALONE_PAUSES_S)
         while not self._leaving:
             now = boottime.now()
-            if now - asked_seeds_s > _SEEDS_EVERY_S or not self._neighbours():
+            if (
+                now - asked_seeds_s > _SEEDS_EVERY_S
+                or not self._local_peer_count()
+            ):
                 asked_seeds_s = now
                 self._ask_seeds()
-            first = self.roster.first(now)
+            first = self.membership.first(now)
             if first is not None:
                 self._ask_members(first.address)
-            count = self._neighbours()
-            self._on_members(count)
+            count = self._local_peer_count()
+            self._on_peer_count(count)
             pause_s = _MEMBERS_EVERY_S
             if not count:
                 pause_s = next(pauses_s, _MEMBERS_EVERY_S)
@@ -99,16 +102,16 @@
         asking = [gevent.spawn(self._ask_members, s) for s in self._seeds]
         gevent.joinall(asking)
 
-    def answer_with(self, path: str, answer: Answer) -> None:
+    def register_handler(self, path: str, answer: Handler) -> None:
         """Names what answers other instances' questions at a path.
 
         Args:
             path: The path.
             answer: Takes the fields of the query; None for no answer.
         """
-        self._answers[path] = answer
+        self._handlers[path] = answer
 
-    def ask(
+    def request(
         self, address: str, question: str, *, answer_s: float
     ) -> result.Result[bytes, str]:
         """Asks one instance.
@@ -120,26 +123,26 @@
         """
         return self._get(address, question, answer_s)
 
-    def ask_any(self, path: str) -> bytes | None:
+    def request_any(self, path: str) -> bytes | None:
         """Asks the instances that are known until one answers.
 
         Returns:
             The answer; None if none has answered.
         """
         now = boottime.now()
-        own = self.roster.own.data_centre
-        near = [member for member, _ in self.roster.members(own, now)]
-        for member in [*near, *self.roster.elsewhere(now)][:_MOST_ASKED]:
+        own = self.membership.own.data_centre
+        near = [member for member, _ in self.membership.members(own, now)]
+        for member in [*near, *self.membership.elsewhere(now)][:_MOST_ASKED]:
             answer = self._get(member.address, path)
             if isinstance(answer, result.Ok):
                 return answer.ok_value
         return None
 
-    def say_goodbye(self) -> None:
+    def announce_departure(self) -> None:
         """Tells the others of the data centre that this instance stops."""
         self._leaving = True
         now = boottime.now()
-        members = self.roster.members(self.roster.own.data_centre, now)
+        members = self.membership.members(self.membership.own.data_centre, now)
         for member, _ in members:
             gevent.spawn(self._get, member.address, "/goodbye")
 
@@ -149,23 +152,23 @@
         fields = dict(urllib.parse.parse_qsl(query))
         asker = _asker(fields)
         if path == "/goodbye":
-            self.roster.left(asker.name)
+            self.membership.left(asker.name)
             conn.answer(_OK, [], b"")
         elif path == "/members":
             if asker.name and asker.address:
-                self.roster.heard(asker, boottime.now())
+                self.membership.heard(asker, boottime.now())
             conn.answer(_OK, [], self._members(asker.data_centre))
-        elif path in self._answers:
-            answer = self._answers[path](fields)
+        elif path in self._handlers:
+            answer = self._handlers[path](fields)
             status = _NOT_FOUND if answer is None else _OK
             conn.answer(status, [], answer or b"")
         else:
             conn.answer(_NOT_FOUND, [], b"")
 
-    def _neighbours(self) -> int:
+    def _local_peer_count(self) -> int:
         """Returns how many other instances the own data centre has."""
-        own = self.roster.own.data_centre
-        return len(self.roster.members(own, boottime.now()))
+        own = self.membership.own.data_centre
+        return len(self.membership.members(own, boottime.now()))
 
     def _members(self, data_centre: str) -> bytes:
         now = boottime.now()
@@ -177,7 +180,7 @@
                 member.link_mbps,
                 age_s,
             )
-            for member, age_s in self.roster.sample(
+            for member, age_s in self.membership.sample(
                 data_centre, now, _MEMBERS_ELSEWHERE
             )
         ]
@@ -205,12 +208,12 @@
                 data_centre=data_centre,
                 link_mbps=link_mbps,
             )
-            self.roster.heard(member, now - max(0.0, age_s))
+            self.membership.heard(member, now - max(0.0, age_s))
 
     def _get(
         self, address: str, question: str, answer_s: float = _ANSWER_S
     ) -> result.Result[bytes, str]:
-        fields = urllib.parse.urlencode(dataclasses.asdict(self.roster.own))
+        fields = urllib.parse.urlencode(dataclasses.asdict(self.membership.own))
         target = question + ("&" if "?" in question else "?") + fields
         try:
             conn = self._connection(address)
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -16,7 +16,7 @@
 _MOST_PROBLEMS_TOLD = 5
 # Servers write their entries every second or so, and after three times without
 # it the store drops an entry; as long after a return from a copy, and a margin.
-_SETTLED_S = 6.0
+_REREAD_DELAY_S = 6.0
 
 
 class ServerList:
@@ -34,16 +34,16 @@
         self._position: position_module.Position | None = None
         self._settles_s = math.inf
 
-    def store_lost(self) -> None:
+    def on_store_lost(self) -> None:
         """Takes that the store does not answer this instance."""
         self._away = True
 
-    def store_back(self, now: float) -> None:
+    def on_store_regained(self, now: float) -> None:
         """Takes that the store is back."""
         self._away = False
         self._back_s = now
 
-    def take(self, batch: feed.Batch, now: float) -> None:
+    def apply_batch(self, batch: feed.Batch, now: float) -> None:
         """Takes an answer of the store.
 
         An entry that cannot be read is there, but names no server: one that it
@@ -59,9 +59,9 @@
             copied = self._copied(batch, now)
             self._replace(changes, batch.position, now, copied)
         else:
-            self.change(changes, batch.position, now)
+            self.apply_changes(changes, batch.position, now)
 
-    def change(
+    def apply_changes(
         self,
         changes: tuple[directory.Change, ...],
         position: position_module.Position,
@@ -78,7 +78,9 @@
         self._inst.eligible.entries_told(changes)
         self._log_changes(changes, position, now, whole=False)
 
-    def update(self, store_s: float, now: float) -> shared_watch.ServersUpdate:
+    def make_update(
+        self, store_s: float, now: float
+    ) -> shared_watch.ServersUpdate:
         """Returns what readers are told; see ``ChangeLog.update``."""
         return self._changes.update(store_s, now)
 
@@ -125,12 +127,12 @@
             return frozenset()
         # Entries that the copy lacks may be written again in a moment.
         self._back_s = now
-        self._settles_s = now + _SETTLED_S
+        self._settles_s = now + _REREAD_DELAY_S
         return frozenset(
             item.key for item in batch.items if item.revision <= known.revision
         )
 
-    def settles(self, now: float) -> bool:
+    def take_reread_due(self, now: float) -> bool:
         """Tells, once, that the list of a new era has to be read again."""
         if now < self._settles_s:
             return False
--- a/irisshelf/gateway/knowledge/entries.py
+++ b/irisshelf/gateway/knowledge/server_records.py
@@ -11,7 +11,7 @@
 _LONGEST_COLD_S = 86_400
 
 
-class Row(msgspec.Struct, array_like=True):
+class ServerRecord(msgspec.Struct, array_like=True):
     """An entry; one that is gone has an id only.
 
     The fields are those of ``directory.BackendServer``.
@@ -27,12 +27,12 @@
     cold_s: Annotated[float, msgspec.Meta(ge=0, le=_LONGEST_COLD_S)] = 0.0
 
 
-def row_of(change: directory.Change) -> Row:
+def to_record(change: directory.Change) -> ServerRecord:
     """Returns a changed entry's row."""
     server = change.server
     if server is None:
-        return Row(entry_id=change.entry_id)
-    return Row(
+        return ServerRecord(entry_id=change.entry_id)
+    return ServerRecord(
         entry_id=server.entry_id,
         service=server.service,
         address=server.address,
@@ -44,7 +44,7 @@
     )
 
 
-def change_of(row: Row) -> directory.Change:
+def to_change(row: ServerRecord) -> directory.Change:
     """Returns the changed entry that a row tells of."""
     if row.state is None:
         return directory.Change(entry_id=row.entry_id, server=None)
--- a/irisshelf/gateway/knowledge/store_timing.py
+++ b/irisshelf/gateway/knowledge/store_timing.py
@@ -44,7 +44,7 @@
 _GATHER_READER_OF_CATALOG = 0.25
 
 
-def hold_s(table: feed.Table, bounds: settings.Bounds) -> float:
+def long_poll_s(table: feed.Table, bounds: settings.Bounds) -> float:
     """Returns how long the store may hold a call, in seconds.
 
     The one on the configuration is also how an instance learns that it is cut
@@ -63,7 +63,7 @@
     return min(longest_s, _LONGEST_HOLD_S)
 
 
-def gather_s(
+def coalesce_s(
     table: feed.Table,
     bounds: settings.Bounds,
     role: shared_watch.Role = shared_watch.Role.ALONE,
@@ -78,15 +78,15 @@
     return _GATHER_OF_LEAVING * bounds.server_leaving_ms / 1000
 
 
-def relay_s(bounds: settings.Bounds, *, begins: bool) -> float:
+def relay_timeout_s(bounds: settings.Bounds, *, starting: bool) -> float:
     """Returns how long other instances are waited for, in seconds.
 
     Args:
         bounds: The operators' bounds.
-        begins: Whether this instance has nothing yet, as its whole data centre
-            may: the watcher has to read it first.
+        starting: Whether this instance has no copy of the table yet. Its whole
+            data centre may be starting, so that the watcher reads it first.
     """
-    if begins:
+    if starting:
         return _HAND_ON_AT_START_S
     return _HAND_ON_OF_CATALOG * bounds.catalog_in_force_ms / 1000
 
--- a/irisshelf/gateway/knowledge/store_updates.py
+++ b/irisshelf/gateway/knowledge/store_updates.py
@@ -21,7 +21,7 @@
 from irisshelf.coordination import roster as roster_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
-from irisshelf.gateway.knowledge import entries
+from irisshelf.gateway.knowledge import server_records
 from irisshelf.observe import decision_log
 
 _KIND = datagrams_module.Kind.STORE_UPDATE
@@ -42,7 +42,7 @@
     revision: _Revision
     # Version of the configuration, or the revision that changes follow.
     base: _Revision
-    servers: list[entries.Row] = []
+    servers: list[server_records.ServerRecord] = []
     # Names of data centres.
     evacuated: list[str] = []
     digest: bytes = b""
@@ -53,12 +53,12 @@
             raise ValueError(f"store_s is {self.store_s}, allowed: 0 and above")
 
 
-class Updates:
+class StoreUpdates:
     """Tells updates to the readers of a data centre, and takes them.
 
     Args:
         datagrams: Carries updates.
-        roster: The other instances.
+        membership: The other instances.
         log: Told of a change of role.
     """
 
@@ -66,15 +66,15 @@
         self,
         *,
         datagrams: datagrams_module.Datagrams,
-        roster: roster_module.Roster,
+        membership: roster_module.Roster,
         log: decision_log.DecisionLog,
     ):
         self._datagrams = datagrams
-        self._roster = roster
+        self._membership = membership
         self._log = log
         self._role = shared_watch.Role.ALONE
         self._on_update: Callable[[shared_watch.Update], None] | None = None
-        datagrams.subscribe(_KIND, self.take)
+        datagrams.subscribe(_KIND, self.receive)
 
     def subscribe(self, taker: Callable[[shared_watch.Update], None]) -> None:
         """Names who takes updates."""
@@ -83,51 +83,52 @@
     def role(self) -> shared_watch.Role:
         """Returns who asks the store for this instance now."""
         now = boottime.now()
-        role = shared_watch.role(self._roster, now)
+        role = shared_watch.role(self._membership, now)
         if role is not self._role:
             self._role = role
-            first = self._roster.first(now)
+            first = self._membership.first(now)
             self._log.instance(
                 "store_watch",
                 role=role.value,
-                first=first.name if first else self._roster.own.name,
+                first=first.name if first else self._membership.own.name,
             )
         return role
 
-    def knows_others(self) -> bool:
+    def has_peers(self) -> bool:
         """Tells whether any other instance is known."""
         now = boottime.now()
-        own = self._roster.own.data_centre
+        own = self._membership.own.data_centre
         return bool(
-            self._roster.members(own, now) or self._roster.elsewhere(now)
+            self._membership.members(own, now)
+            or self._membership.elsewhere(now)
         )
 
-    def tell(self, update: shared_watch.Update) -> None:
+    def broadcast(self, update: shared_watch.Update) -> None:
         """Sends an update to all other instances of the data centre."""
         data = self._encode(update)
-        own = self._roster.own.data_centre
-        for member, _ in self._roster.members(own, boottime.now()):
+        own = self._membership.own.data_centre
+        for member, _ in self._membership.members(own, boottime.now()):
             self._datagrams.send(member.address, data)
 
-    def take(self, content: Any) -> None:
+    def receive(self, content: Any) -> None:
         """Takes what a datagram holds.
 
         Raises:
             ValueError: It is no update.
         """
         message = msgspec.convert(content, _Message)
-        if message.data_centre != self._roster.own.data_centre:
+        if message.data_centre != self._membership.own.data_centre:
             return
         if self._on_update is not None:
             self._on_update(_decode(message))
 
     def _encode(self, update: shared_watch.Update) -> bytes:
-        data = self._pack(_message(update, self._roster.own.data_centre))
-        if len(data) <= datagrams_module.MOST_BYTES:
+        data = self._pack(_message(update, self._membership.own.data_centre))
+        if len(data) <= datagrams_module.MAX_DATAGRAM_BYTES:
             return data
         # Readers see that there is more, and ask the store for it.
         short = dataclasses.replace(update, since=update.position, changes=())
-        return self._pack(_message(short, self._roster.own.data_centre))
+        return self._pack(_message(short, self._membership.own.data_centre))
 
     def _pack(self, message: _Message) -> bytes:
         return datagrams_module.encode(
@@ -163,7 +164,7 @@
         era=update.position.era,
         revision=update.position.revision,
         base=update.since.revision,
-        servers=[entries.row_of(change) for change in update.changes],
+        servers=[server_records.to_record(change) for change in update.changes],
     )
 
 
@@ -183,5 +184,5 @@
         store_s=message.store_s,
         since=position_module.Position(era=message.era, revision=message.base),
         position=position,
-        changes=tuple(map(entries.change_of, message.servers)),
+        changes=tuple(map(server_records.to_change, message.servers)),
     )
--- a/irisshelf/gateway/knowledge/table_relay.py
+++ b/irisshelf/gateway/knowledge/table_relay.py
@@ -26,10 +26,10 @@
 from irisshelf.catalog import evacuations
 from irisshelf.catalog import position as position_module
 from irisshelf.gateway import instance as instance_module
-from irisshelf.gateway.knowledge import entries
-from irisshelf.gateway.knowledge import neighbours as neighbours_module
 from irisshelf.gateway.knowledge import operator_state
-from irisshelf.gateway.knowledge import whole_table
+from irisshelf.gateway.knowledge import peer_discovery
+from irisshelf.gateway.knowledge import server_records
+from irisshelf.gateway.knowledge import table_snapshot
 from irisshelf.store import feed
 
 # Instances that one relays a table to: four bodies of 70 kB take a link of 5
@@ -46,7 +46,7 @@
 
     Args:
         inst: The instance.
-        neighbours: How other instances are asked.
+        peers: How other instances are asked.
         operators: What the operators have written.
         as_of: Tells up to where a table is known; None if it is not.
         decode: Decodes a configuration as the store has it.
@@ -56,23 +56,23 @@
         self,
         *,
         inst: instance_module.Instance,
-        neighbours: neighbours_module.Neighbours,
+        peers: peer_discovery.PeerDiscovery,
         operators: operator_state.OperatorState,
-        as_of: Callable[[feed.Table], whole_table.AsOf | None],
+        as_of: Callable[[feed.Table], table_snapshot.AsOf | None],
         decode: Callable[[bytes], feed.Item],
     ):
         self._inst = inst
-        self._neighbours = neighbours
+        self._peers = peers
         self._operators = operators
         self._as_of = as_of
         self._decode = decode
         self._changed = event.Event()
-        # The configuration that was packed last, and its version.
-        self._packed: tuple[int, bytes] = (-1, b"")
+        # The configuration that was compressed last, and its version.
+        self._compressed: tuple[int, bytes] = (-1, b"")
         for table, path in _PATHS.items():
-            neighbours.answer_with(path, self._answers(table))
+            peers.register_handler(path, self._request_handler(table))
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         """Takes that more is known, which others may be waiting for."""
         waiting, self._changed = self._changed, event.Event()
         waiting.set()
@@ -80,111 +80,124 @@
     def fetch(
         self,
         table: feed.Table,
-        wanted: whole_table.Wanted | None,
+        minimum: table_snapshot.MinimumVersion | None,
         *,
         within_s: float,
-    ) -> whole_table.RelayedTable | None:
+    ) -> table_snapshot.RelayedSnapshot | None:
         """Asks the instances above this one in the tree.
 
         Args:
             table: What to ask for.
-            wanted: What it has to hold at least; None for anything.
+            minimum: What it has to hold at least; None for anything.
             within_s: How long each may take.
 
         Returns:
             None if nobody has sent it in time.
         """
         until_s = boottime.now() + within_s
-        roster = self._neighbours.roster
-        for member in roster.ancestors(boottime.now(), _FAN_OUT):
+        membership = self._peers.membership
+        for member in membership.ancestors(boottime.now(), _FAN_OUT):
             left_s = until_s - boottime.now()
             if left_s <= 0:
                 return None
-            question = _question(table, wanted, left_s)
+            question = _question(table, minimum, left_s)
             sent_s = boottime.now()
-            answer = self._neighbours.ask(
+            answer = self._peers.request(
                 member.address, question, answer_s=left_s
             )
             if isinstance(answer, result.Err):
                 continue
-            relayed = self._unpack(table, answer.ok_value, wanted, sent_s)
+            relayed = self._decode_table(
+                table, answer.ok_value, minimum, sent_s
+            )
             if relayed is not None:
                 self._log(table, relayed, member.name, len(answer.ok_value))
             return relayed
         return None
 
-    def _answers(self, table: feed.Table) -> neighbours_module.Answer:
+    def _request_handler(self, table: feed.Table) -> peer_discovery.Handler:
         def answer(fields: Mapping[str, str]) -> bytes | None:
             try:
                 era, revision, version, hold_ms = (
                     msgspec.convert(
-                        fields.get(name, "0"), whole_table.Count, strict=False
+                        fields.get(name, "0"),
+                        table_snapshot.Count,
+                        strict=False,
                     )
                     for name in ("era", "revision", "version", "hold_ms")
                 )
             except msgspec.ValidationError as exc:
                 self._inst.log.problem("question_unreadable", detail=str(exc))
                 return None
-            wanted = whole_table.Wanted(
+            minimum = table_snapshot.MinimumVersion(
                 position=position_module.Position(era=era, revision=revision),
                 version=version,
             )
-            if not self._await(table, wanted, hold_ms / 1000):
+            if not self._await(table, minimum, hold_ms / 1000):
                 return None
-            return self._pack(table)
+            return self._encode_table(table)
 
         return answer
 
     def _await(
-        self, table: feed.Table, wanted: whole_table.Wanted, hold_s: float
+        self,
+        table: feed.Table,
+        minimum: table_snapshot.MinimumVersion,
+        hold_s: float,
     ) -> bool:
-        """Waits until a table is known as far as it is wanted."""
+        """Waits until a table is known as far as it is minimum."""
         until_s = boottime.now() + hold_s
-        while not self._has(table, wanted):
+        while not self._has(table, minimum):
             left_s = until_s - boottime.now()
             if left_s <= 0:
                 return False
             self._changed.wait(left_s)
         return True
 
-    def _has(self, table: feed.Table, wanted: whole_table.Wanted) -> bool:
+    def _has(
+        self, table: feed.Table, minimum: table_snapshot.MinimumVersion
+    ) -> bool:
         known = self._as_of(table)
         clock_s = self._inst.freshness.clock_s(boottime.now())
-        if known is None or clock_s is None or known.position < wanted.position:
+        if (
+            known is None
+            or clock_s is None
+            or known.position < minimum.position
+        ):
             return False
         if table is feed.Table.SERVERS:
             return True
-        stored = self._operators.stored
+        stored = self._operators.stored_catalog
         if stored is None or self._operators.store_is_behind:
             return False
-        return stored.version >= wanted.version
+        return stored.version >= minimum.version
 
-    def _pack(self, table: feed.Table) -> bytes:
+    def _encode_table(self, table: feed.Table) -> bytes:
         known = self._as_of(table)
         now = boottime.now()
-        message = whole_table.Message(
+        message = table_snapshot.Message(
             era=known.position.era,
             revision=known.position.revision,
             store_s=known.store_s,
             clock_s=self._inst.freshness.clock_s(now),
         )
         if table is feed.Table.CATALOG:
-            message.catalog = self._packed_catalog()
+            message.catalog = self._compressed_catalog()
             message.evacuated = sorted(self._inst.evacuations.now())
         else:
             message.servers = [
-                entries.row_of(self._aged(server, now))
+                server_records.to_record(self._aged(server, now))
                 for server in self._inst.directory.unlapsed()
             ]
-        return whole_table.encode(message)
+        return table_snapshot.encode(message)
 
-    def _packed_catalog(self) -> bytes:
+    def _compressed_catalog(self) -> bytes:
         """Packs a configuration once, for all who ask for it."""
-        stored = self._operators.stored
-        if self._packed[0] != stored.version:
-            packed = whole_table.pack(stored.raw)
-            self._packed = (stored.version, packed)
-        return self._packed[1]
+        stored = self._operators.stored_catalog
+        if self._compressed[0] != stored.version:
+            compressed = table_snapshot.compress(stored.raw)
+            self._compressed = (stored.version, compressed)
+        return self._compressed[1]
 
     def _aged(
         self, server: directory.BackendServer, now: float
@@ -193,36 +206,38 @@
         aged = dataclasses.replace(server, cold_s=left_s)
         return directory.Change(entry_id=server.entry_id, server=aged)
 
-    def _unpack(
+    def _decode_table(
         self,
         table: feed.Table,
         data: bytes,
-        wanted: whole_table.Wanted | None,
+        minimum: table_snapshot.MinimumVersion | None,
         sent_s: float,
-    ) -> whole_table.RelayedTable | None:
+    ) -> table_snapshot.RelayedSnapshot | None:
         try:
-            message = whole_table.decode(data)
-            batch = self._batch(table, message, wanted)
+            message = table_snapshot.decode(data)
+            batch = self._batch(table, message, minimum)
         except ValueError as exc:
             self._inst.log.problem(
                 "relayed_table_unreadable", table=table.value, detail=str(exc)
             )
             return None
-        return whole_table.RelayedTable(
+        return table_snapshot.RelayedSnapshot(
             batch=batch, sent_s=sent_s, clock_s=message.clock_s
         )
 
     def _batch(
         self,
         table: feed.Table,
-        message: whole_table.Message,
-        wanted: whole_table.Wanted | None,
+        message: table_snapshot.Message,
+        minimum: table_snapshot.MinimumVersion | None,
     ) -> feed.Batch:
         if table is feed.Table.SERVERS:
             items = tuple(map(_server_item, message.servers))
         else:
             items = (
-                self._catalog_item(whole_table.unpack(message.catalog), wanted),
+                self._catalog_item(
+                    table_snapshot.decompress(message.catalog), minimum
+                ),
                 *map(_evacuation_item, message.evacuated),
             )
         return feed.Batch(
@@ -235,7 +250,7 @@
         )
 
     def _catalog_item(
-        self, raw: bytes, wanted: whole_table.Wanted | None
+        self, raw: bytes, minimum: table_snapshot.MinimumVersion | None
     ) -> feed.Item:
         """Decodes a configuration.
 
@@ -245,15 +260,18 @@
         item = self._decode(raw)
         if item.problem:
             raise ValueError(item.problem)
-        meant = wanted is not None and item.value.version == wanted.version
-        if meant and wanted.digest not in (b"", operator_state.digest_of(raw)):
-            raise ValueError(f"version {wanted.version} has another digest")
+        meant = minimum is not None and item.value.version == minimum.version
+        if meant and minimum.digest not in (
+            b"",
+            operator_state.catalog_digest(raw),
+        ):
+            raise ValueError(f"version {minimum.version} has another digest")
         return item
 
     def _log(
         self,
         table: feed.Table,
-        relayed: whole_table.RelayedTable,
+        relayed: table_snapshot.RelayedSnapshot,
         by: str,
         size_bytes: int,
     ) -> None:
@@ -270,21 +288,23 @@
 
 
 def _question(
-    table: feed.Table, wanted: whole_table.Wanted | None, left_s: float
+    table: feed.Table,
+    minimum: table_snapshot.MinimumVersion | None,
+    left_s: float,
 ) -> str:
     hold_ms = int(left_s * _HOLD_SHARE * 1000)
     question = f"{_PATHS[table]}?hold_ms={hold_ms}"
-    if wanted is None:
+    if minimum is None:
         return question
-    at = wanted.position
+    at = minimum.position
     return (
         f"{question}&era={at.era}&revision={at.revision}"
-        f"&version={wanted.version}"
+        f"&version={minimum.version}"
     )
 
 
-def _server_item(row: entries.Row) -> feed.Item:
-    change = entries.change_of(row)
+def _server_item(row: server_records.ServerRecord) -> feed.Item:
+    change = server_records.to_change(row)
     return feed.Item(key=change.entry_id, value=change.server)
 
 
--- a/irisshelf/gateway/knowledge/whole_table.py
+++ b/irisshelf/gateway/knowledge/table_snapshot.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from irisshelf.catalog import position as position_module
-from irisshelf.gateway.knowledge import entries
+from irisshelf.gateway.knowledge import server_records
 from irisshelf.store import feed
 
 # What a whole table may have, unpacked.
-_MOST_BYTES = 64 * 1024 * 1024
+_MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 # The network is fast, the processor of the one that packs may be slow.
 _FASTEST_PACKING = 1
 
@@ -34,7 +34,7 @@
     # The configuration as the store has it; empty for the list of servers.
     catalog: bytes = b""
     evacuated: list[str] = []
-    servers: list[entries.Row] = []
+    servers: list[server_records.ServerRecord] = []
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Wanted:
+class MinimumVersion:
     """What an instance has been told of and does not have.
 
     Attributes:
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class RelayedTable:
+class RelayedSnapshot:
     """A whole table that another instance has sent.
 
     Attributes:
@@ -83,7 +83,7 @@
 def encode(message: Message) -> bytes:
     """Returns a table's bytes."""
     content = msgspec.to_builtins(message, builtin_types=(bytes,))
-    return pack(cbor2.dumps(content))
+    return compress(cbor2.dumps(content))
 
 
 def decode(data: bytes) -> Message:
@@ -93,17 +93,17 @@
         ValueError: It is none; the text says why.
     """
     try:
-        return msgspec.convert(cbor2.loads(unpack(data)), Message)
+        return msgspec.convert(cbor2.loads(decompress(data)), Message)
     except (TypeError, cbor2.CBORError) as exc:
         raise ValueError(str(exc)) from exc
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Returns bytes in fewer."""
     return zlib.compress(data, _FASTEST_PACKING)
 
 
-def unpack(data: bytes) -> bytes:
+def decompress(data: bytes) -> bytes:
     """Returns what was packed.
 
     Raises:
@@ -111,9 +111,11 @@
     """
     unpacker = zlib.decompressobj()
     try:
-        unpacked = unpacker.decompress(data, _MOST_BYTES)
+        unpacked = unpacker.decompress(data, _MAX_DECOMPRESSED_BYTES)
     except zlib.error as exc:
         raise ValueError(str(exc)) from exc
     if unpacker.unconsumed_tail or not unpacker.eof:
-        raise ValueError(f"not whole, or longer than {_MOST_BYTES} bytes")
+        raise ValueError(
+            f"not whole, or longer than {_MAX_DECOMPRESSED_BYTES} bytes"
+        )
     return unpacked
--- a/irisshelf/gateway/knowledge/tables.py
+++ b/irisshelf/gateway/knowledge/tables.py
@@ -15,7 +15,7 @@
 from irisshelf.gateway import instance as instance_module
 from irisshelf.gateway.knowledge import operator_state
 from irisshelf.gateway.knowledge import server_list
-from irisshelf.gateway.knowledge import whole_table
+from irisshelf.gateway.knowledge import table_snapshot
 from irisshelf.store import feed
 
 _CATALOG = feed.Table.CATALOG
@@ -40,22 +40,24 @@
         self.watches = {table: table_watch.TableWatch() for table in feed.Table}
         self.operators = operator_state.OperatorState(inst=inst)
         self.servers = server_list.ServerList(inst=inst)
-        self._as_of: dict[feed.Table, whole_table.AsOf] = {}
-        self._wanted: dict[feed.Table, whole_table.Wanted] = {}
+        self._as_of: dict[feed.Table, table_snapshot.AsOf] = {}
+        self._missing: dict[feed.Table, table_snapshot.MinimumVersion] = {}
 
-    def as_of(self, table: feed.Table) -> whole_table.AsOf | None:
+    def as_of(self, table: feed.Table) -> table_snapshot.AsOf | None:
         """Returns up to where a table is known; None if it is not."""
         return self._as_of.get(table)
 
-    def take_wanted(self, table: feed.Table) -> whole_table.Wanted | None:
+    def take_missing(
+        self, table: feed.Table
+    ) -> table_snapshot.MinimumVersion | None:
         """Returns, once, what updates have told of that is not here."""
-        wanted = self._wanted.pop(table, None)
+        missing = self._missing.pop(table, None)
         known = self._as_of.get(table)
-        if wanted and known and known.position >= wanted.position:
+        if missing and known and known.position >= missing.position:
             return None
-        return wanted
+        return missing
 
-    def answered(
+    def apply_answer(
         self, table: feed.Table, batch: feed.Batch, sent_s: float, now: float
     ) -> bool:
         """Takes an answer of the store.
@@ -75,17 +77,20 @@
         if not newest:
             return False
         if table is _SERVERS:
-            self.servers.take(batch, now)
+            self.servers.apply_batch(batch, now)
         else:
-            brought = self.operators.take(batch, now)
+            brought = self.operators.apply_batch(batch, now)
             if batch.complete:
                 self._confirm(batch, sent_s, now, brought=brought)
         if batch.complete:
             self._known_to(table, batch.position, batch.store_s)
         return True
 
-    def relayed(
-        self, table: feed.Table, relayed: whole_table.RelayedTable, now: float
+    def apply_snapshot(
+        self,
+        table: feed.Table,
+        relayed: table_snapshot.RelayedSnapshot,
+        now: float,
     ) -> bool:
         """Takes a whole table from another instance.
 
@@ -102,9 +107,9 @@
         if not self.watches[table].relayed(batch.position, as_of_s):
             return False
         if table is _SERVERS:
-            self.servers.take(batch, now)
+            self.servers.apply_batch(batch, now)
         else:
-            self.operators.take(batch, now)
+            self.operators.apply_batch(batch, now)
             if not self.operators.store_is_behind:
                 fresh.confirmed(as_of_s)
                 self.watches[_CATALOG].caught_up(as_of_s)
@@ -112,7 +117,7 @@
         return True
 
     @functools.singledispatchmethod
-    def told(
+    def apply_update(
         self, update: shared_watch.Update, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
         """Takes an update of the watcher.
@@ -124,7 +129,7 @@
         """
         raise TypeError(f"update is {update!r}, allowed: {shared_watch.Update}")
 
-    @told.register
+    @apply_update.register
     def _(
         self, update: shared_watch.CatalogUpdate, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
@@ -134,9 +139,9 @@
         )
         watch.updated(as_of_s, update.position, verdict)
         if verdict is not _Verdict.STALE:
-            self.operators.hear(update, now)
+            self.operators.apply_update(update, now)
         if verdict is _Verdict.FETCH:
-            self._wanted[_CATALOG] = whole_table.Wanted(
+            self._missing[_CATALOG] = table_snapshot.MinimumVersion(
                 position=update.position,
                 version=update.version,
                 digest=update.digest,
@@ -148,7 +153,7 @@
             self._known_to(_CATALOG, update.position, update.store_s)
         return verdict
 
-    @told.register
+    @apply_update.register
     def _(
         self, update: shared_watch.ServersUpdate, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
@@ -156,28 +161,28 @@
         verdict = shared_watch.judge_servers(update, watch.position)
         watch.updated(as_of_s, update.position, verdict)
         if verdict is _Verdict.FETCH:
-            self._wanted[_SERVERS] = whole_table.Wanted(
+            self._missing[_SERVERS] = table_snapshot.MinimumVersion(
                 position=update.position
             )
         if verdict is _Verdict.APPLY:
-            self.servers.change(update.changes, update.position, now)
+            self.servers.apply_changes(update.changes, update.position, now)
             watch.follows_to(update.position)
         if verdict in (_Verdict.APPLY, _Verdict.CURRENT):
             self._known_to(_SERVERS, update.position, update.store_s)
         return verdict
 
-    def update(
+    def make_update(
         self, table: feed.Table, batch: feed.Batch, now: float
     ) -> shared_watch.Update | None:
         """Returns what readers are told after an answer; None for nothing."""
         if table is _SERVERS:
-            return self.servers.update(batch.store_s, now)
-        return self.operators.update(batch)
+            return self.servers.make_update(batch.store_s, now)
+        return self.operators.make_update(batch)
 
     def expire(self, now: float) -> None:
         """Drops what has lapsed and did not come back."""
         self.servers.expire(now)
-        if self.servers.settles(now):
+        if self.servers.take_reread_due(now):
             self.watches[_SERVERS].forgotten()
         self.operators.expire(now)
 
@@ -211,5 +216,5 @@
     ) -> None:
         known = self._as_of.get(table)
         if known is None or known.position <= position:
-            as_of = whole_table.AsOf(position=position, store_s=store_s)
+            as_of = table_snapshot.AsOf(position=position, store_s=store_s)
             self._as_of[table] = as_of
--- a/irisshelf/platform/stand_in/entry.py
+++ b/irisshelf/platform/stand_in/entry.py
@@ -102,16 +102,16 @@
         self.crash_gossip = crash_gossip.CrashGossip(
             crashes=self.inst.crashes,
             datagrams=self._datagrams,
-            roster=self.roster,
+            membership=self.roster,
             log=log,
         )
         self._gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
-            roster=self.roster,
+            membership=self.roster,
             on_fact=self.inst.servers.heard_fact,
             rng=random.Random(2),
         )
-        self.inst.servers.tell = self._gossip.tell
+        self.inst.servers.tell = self._gossip.publish
         self._greenlets = [
             gevent.spawn(self.follower.run, table) for table in feed.Table
         ]
--- a/irisshelf/tests/test_catching_up.py
+++ b/irisshelf/tests/test_catching_up.py
@@ -194,14 +194,14 @@
         # From when on its updates are lost.
         self.lost_from_s = math.inf
 
-    def subscribe(self, taker):
-        self._take = taker
+    def subscribe(self, handler):
+        self._take = handler
         self._clock.at(0.1, self._beat)
 
     def role(self):
         return self._role
 
-    def tell(self, update):
+    def broadcast(self, update):
         pass
 
     def _beat(self):
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -196,7 +196,7 @@
         switched=policy.ALL_ON,
     )
     fleet.wait(lambda: _stages(fleet) == ["barred"] * 4)
-    answers = [None, fleet.entries[1].crash_gossip.all()]
+    answers = [None, fleet.entries[1].crash_gossip.snapshot()]
     fresh.crash_gossip.catch_up(lambda: answers.pop(0))
     fleet.entries.append(fresh)
     assert _stages(fleet) == ["barred"] * 5
--- a/irisshelf/tests/test_fact_gossip.py
+++ b/irisshelf/tests/test_fact_gossip.py
@@ -29,13 +29,13 @@
         self.problems = []
         self.log.problem = lambda name, **fields: self.problems.append(name)
         own = roster.Member(name=name, address="", data_centre=data_centre)
-        self.roster = roster.Roster(own=own)
+        self.membership = roster.Roster(own=own)
         self.datagrams = datagrams.Datagrams(
             address="127.0.0.1:0", log=self.log
         )
         self.gossip = fact_gossip.FactGossip(
             datagrams=self.datagrams,
-            roster=self.roster,
+            membership=self.membership,
             on_fact=self._take,
             rng=random.Random(1),
         )
@@ -70,7 +70,7 @@
     ]
     for one in made:
         for other in made:
-            one.roster.heard(other.member, boottime.now())
+            one.membership.heard(other.member, boottime.now())
     yield made
     for one in made:
         gevent.killall(one.greenlets)
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("teller", range(4))
 def test_a_load_is_told_everywhere(four, teller):
-    four[teller].gossip.tell(_news())
+    four[teller].gossip.publish(_news())
     others = [one for one in four if one is not four[teller]]
     _wait(lambda: all(one.loads for one in others))
     assert {(n.server, n.work) for one in four for n in one.loads} == {
@@ -98,7 +98,7 @@
 
 
 def test_news_end(four):
-    four[0].gossip.tell(_news())
+    four[0].gossip.publish(_news())
     _wait(lambda: all(one.loads for one in four[1:]))
     gevent.sleep(1.0)
     before = [len(one.loads) for one in four]
@@ -110,7 +110,7 @@
     pairs = [(_KEY, bytes([n])) for n in range(100)]
     for pair in pairs:
         server, part = pair
-        four[0].gossip.tell(facts.PartHeld(server=server, part=part))
+        four[0].gossip.publish(facts.PartHeld(server=server, part=part))
     _wait(lambda: all(len(set(one.holds)) == 100 for one in four[1:]))
     assert all(sorted(set(one.holds)) == pairs for one in four[1:])
 
@@ -129,8 +129,8 @@
     ],
 )
 def test_garbage_is_told_once_and_left(four, data):
-    four[0].datagrams.take(data)
-    four[0].datagrams.take(data)
+    four[0].datagrams.dispatch(data)
+    four[0].datagrams.dispatch(data)
     assert four[0].problems == ["news_unreadable"]
     assert four[0].loads == []
 
@@ -138,12 +138,12 @@
 @pytest.mark.parametrize("age_ms", [-1, 60_000])
 def test_news_of_no_sensible_age_are_left(four, age_ms):
     loads = [[_KEY, 1, age_ms]]
-    four[0].gossip.take(["a", 2, loads, {}])
+    four[0].gossip.receive(["a", 2, loads, {}])
     assert four[0].loads == []
 
 
 def test_without_news_nothing_is_sent(four):
-    four[0].gossip.send()
+    four[0].gossip.flush()
     gevent.sleep(0.05)
     assert [one.loads for one in four] == [[], [], [], []]
 
@@ -155,20 +155,20 @@
     four[0].datagrams.send = lambda address, data: sent.append(data)
     for number in range(300):
         key = directory.key_of(f"s{number % servers}")
-        four[0].gossip.tell(
+        four[0].gossip.publish(
             facts.ServerLoad(server=key, work=10**6, at_s=boottime.now() - 4.9)
         )
         part = number.to_bytes(4, "big")
-        four[0].gossip.tell(facts.PartHeld(server=key, part=part))
-    four[0].gossip.send()
+        four[0].gossip.publish(facts.PartHeld(server=key, part=part))
+    four[0].gossip.flush()
     longest = max(map(len, sent))
-    assert longest <= datagrams.MOST_BYTES
-    assert longest >= 0.75 * datagrams.MOST_BYTES
+    assert longest <= datagrams.MAX_DATAGRAM_BYTES
+    assert longest >= 0.75 * datagrams.MAX_DATAGRAM_BYTES
 
 
 def test_coldness_is_told_everywhere_with_what_is_left(four):
     until_s = boottime.now() + 3.0
-    four[0].gossip.tell(facts.ServerCold(server=_KEY, until_s=until_s))
+    four[0].gossip.publish(facts.ServerCold(server=_KEY, until_s=until_s))
     _wait(lambda: all(one.colds for one in four[1:]))
     for one in four[1:]:
         # On one machine all have one clock; what is left is in whole ms.
--- a/irisshelf/tests/test_gateway_store.py
+++ b/irisshelf/tests/test_gateway_store.py
@@ -174,12 +174,12 @@
     listed = world.follower.tables.servers
     leaver = world.plain[0]
     back_s = boottime.now() - 1.5
-    listed.store_back(back_s)
+    listed.on_store_regained(back_s)
     gone = feed.Item(key=leaver.server_id, value=None)
     batch = feed.Batch(
         items=(gone,), position=_at(99), store_s=0.0, whole=False
     )
-    listed.take(batch, boottime.now())
+    listed.apply_batch(batch, boottime.now())
     assert world.inst.directory.get(leaver.server_id) is not None
     end_s = back_s + directory.LAPSE_GRACE_S + 0.01
     assert world.inst.directory.expire(end_s) == (leaver.server_id,)
@@ -190,9 +190,9 @@
     listed = world.follower.tables.servers
     leaver = world.plain[0]
     gone = directory.Change(entry_id=leaver.server_id, server=None)
-    listed.store_lost()
+    listed.on_store_lost()
     missed_s = boottime.now()
-    listed.change((gone,), _at(99), missed_s)
+    listed.apply_changes((gone,), _at(99), missed_s)
     assert world.inst.directory.get(leaver.server_id) is not None
     end_s = missed_s + directory.LAPSE_GRACE_S + 0.01
     assert world.inst.directory.expire(end_s) == (leaver.server_id,)
@@ -267,7 +267,7 @@
     ],
 )
 def test_calls_are_held_as_long_as_the_bounds_allow(table, bounds, seconds):
-    assert store_timing.hold_s(table, settings.Bounds(**bounds)) == seconds
+    assert store_timing.long_poll_s(table, settings.Bounds(**bounds)) == seconds
 
 
 @pytest.mark.parametrize(
@@ -276,7 +276,7 @@
 )
 def test_changes_are_gathered_well_within_the_bound(table, leaving_ms, seconds):
     bounds = settings.Bounds(server_leaving_ms=leaving_ms)
-    assert store_timing.gather_s(table, bounds) == seconds
+    assert store_timing.coalesce_s(table, bounds) == seconds
 
 
 @pytest.mark.parametrize("mode", [Mode.BUSY, Mode.RESET, Mode.SILENT])
@@ -317,9 +317,9 @@
     listed = server_list.ServerList(inst=world.inst)
     name = world.plain[0].server_id
     gone = directory.Change(entry_id=name, server=None)
-    listed.store_lost()
-    listed.change((gone,), _at(10**9), 10.0)
-    listed.store_back(11.2)
+    listed.on_store_lost()
+    listed.apply_changes((gone,), _at(10**9), 10.0)
+    listed.on_store_regained(11.2)
     listed.expire(12.9)
     assert world.inst.directory.get(name) is None
 
--- a/irisshelf/tests/test_outside_bytes.py
+++ b/irisshelf/tests/test_outside_bytes.py
@@ -166,7 +166,7 @@
     """
     listed = server_list.ServerList(inst=world.inst)
     server = world.plain[0]
-    listed.store_lost()
+    listed.on_store_lost()
     rows = [feed.Item(key=server.server_id, value=None, problem="garbled")]
     if whole:
         rows += [
@@ -177,7 +177,7 @@
     batch = feed.Batch(
         items=tuple(rows), position=_FAR, store_s=0.0, whole=whole
     )
-    listed.take(batch, world.inst.now())
+    listed.apply_batch(batch, world.inst.now())
     assert world.inst.directory.get(server.server_id) is None
     assert len(world.inst.directory.servers()) == 3
 
@@ -350,8 +350,8 @@
     for kind in datagrams_module.Kind:
         taken = []
         datagrams.subscribe(kind, taken.append)
-        datagrams.take(bytes([kind]) + nested)
-        datagrams.take(bytes([kind]) + cbor2.dumps([1]))
+        datagrams.dispatch(bytes([kind]) + nested)
+        datagrams.dispatch(bytes([kind]) + cbor2.dumps([1]))
         assert len(taken) >= 1
 
 
@@ -397,23 +397,23 @@
         members = roster.Roster(own=own)
         fact_gossip.FactGossip(
             datagrams=self,
-            roster=members,
+            membership=members,
             on_fact=self._take_fact,
             rng=random.Random(1),
         )
         crash_gossip.CrashGossip(
-            crashes=self, datagrams=self, roster=members, log=None
+            crashes=self, datagrams=self, membership=members, log=None
         )
-        store_updates.Updates(
-            datagrams=self, roster=members, log=None
+        store_updates.StoreUpdates(
+            datagrams=self, membership=members, log=None
         ).subscribe(self.updates.append)
 
     def _take_fact(self, fact):
         if isinstance(fact, facts.ServerLoad):
             self.loads.append(fact)
 
-    def subscribe(self, kind, taker):
-        self._takers[kind] = taker
+    def subscribe(self, kind, handler):
+        self._takers[kind] = handler
 
     def take(self, kind, content):
         try:
--- a/irisshelf/tests/test_neighbours.py
+++ b/irisshelf/tests/test_peer_discovery.py
@@ -8,7 +8,7 @@
 from irisshelf import boottime
 from irisshelf.coordination import roster
 from irisshelf.gateway import listener
-from irisshelf.gateway.knowledge import neighbours
+from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.observe import decision_log
 from irisshelf.transport import server as http
 
@@ -95,16 +95,16 @@
         )
         self._listener.start()
         self.address = f"127.0.0.1:{self._listener.port}"
-        self.own = neighbours.Neighbours(
+        self.own = peer_discovery.PeerDiscovery(
             own=roster.Member(name=name, address=self.address, data_centre="a"),
             seeds=seeds,
             log=log,
-            on_members=self.counts.append,
+            on_peer_count=self.counts.append,
         )
 
     def names(self):
         now = boottime.now()
-        return sorted(m.name for m, _ in self.own.roster.members("a", now))
+        return sorted(m.name for m, _ in self.own.membership.members("a", now))
 
 
 def _wait(until):
@@ -122,7 +122,7 @@
     _wait(lambda: [len(one.names()) for one in everyone] == [2, 2, 2])
     _wait(lambda: all(2 in one.counts for one in everyone))
     gevent.killall(loops)
-    others[0].own.say_goodbye()
+    others[0].own.announce_departure()
     _wait(lambda: first.names() == ["3"])
 
 
@@ -131,7 +131,7 @@
     leaver = _Instance("2", seeds=(first.address,))
     loop = gevent.spawn(leaver.own.run)
     _wait(lambda: first.names() == ["2"])
-    leaver.own.say_goodbye()
+    leaver.own.announce_departure()
     _wait(loop.ready)
     assert first.names() == []
 
@@ -148,12 +148,12 @@
 def test_an_instance_asks_whoever_answers():
     first = _Instance("1")
     asker = _Instance("2", seeds=(first.address,))
-    assert asker.own.ask_any("/what") is None
+    assert asker.own.request_any("/what") is None
     loop = gevent.spawn(asker.own.run)
     _wait(lambda: first.names() == ["2"])
     gone = roster.Member(name="0", address="127.0.0.1:9", data_centre="a")
-    asker.own.roster.heard(gone, boottime.now())
-    assert asker.own.ask_any("/what") is None
-    first.own.answer_with("/what", lambda fields: b"this")
-    assert asker.own.ask_any("/what") == b"this"
+    asker.own.membership.heard(gone, boottime.now())
+    assert asker.own.request_any("/what") is None
+    first.own.register_handler("/what", lambda fields: b"this")
+    assert asker.own.request_any("/what") == b"this"
     loop.kill()
--- a/irisshelf/tests/test_shared_watch.py
+++ b/irisshelf/tests/test_shared_watch.py
@@ -191,7 +191,7 @@
         hold_s = watch.hold_s(
             self.role(),
             self.play.timing,
-            alone_s=store_timing.hold_s(table, self.play.bounds),
+            alone_s=store_timing.long_poll_s(table, self.play.bounds),
             now=self.clock_s,
         )
         watch.asked()
@@ -249,7 +249,7 @@
             self._tell(table, where, store_s)
         pause_s = 0.0
         if news:
-            pause_s = store_timing.gather_s(
+            pause_s = store_timing.coalesce_s(
                 table, self.play.bounds, self.role()
             )
         self.next_turn(table, pause_s)
--- a/irisshelf/tests/test_sleep.py
+++ b/irisshelf/tests/test_sleep.py
@@ -137,7 +137,7 @@
     world = make_world(bounds=_LENIENT)
     name = world.plain[0].server_id
     listed = world.follower.tables.servers
-    listed.store_lost()
+    listed.on_store_lost()
     world.store.drop("servers", name)
     world.wait(lambda: world.inst.directory._lapsed)
     sleep(slept_s)
--- a/irisshelf/tests/test_store_outage.py
+++ b/irisshelf/tests/test_store_outage.py
@@ -26,16 +26,16 @@
 
     def __init__(self, role):
         self._role = role
-        self.told = []
+        self.broadcasts = []
 
-    def subscribe(self, taker):
-        self.take = taker
+    def subscribe(self, handler):
+        self.deliver = handler
 
     def role(self):
         return self._role
 
-    def tell(self, update):
-        self.told.append(update)
+    def broadcast(self, update):
+        self.broadcasts.append(update)
 
 
 @pytest.fixture
@@ -49,7 +49,7 @@
 def _take_role(world, role):
     updates = _Updates(role)
     world.follower._updates = updates
-    updates.subscribe(world.follower.take_update)
+    updates.subscribe(world.follower.apply_update)
     return updates
 
 
@@ -93,7 +93,7 @@
             version=9,
             position=position.Position(era=0, revision=99),
         )
-        updates.take(update)
+        updates.deliver(update)
         return not short.inst.keys_hold()
 
     short.wait(told_of_more)
--- a/irisshelf/tests/test_store_copy.py
+++ b/irisshelf/tests/test_store_restore.py
@@ -188,7 +188,7 @@
     world, monkeypatch
 ):
     """An entry that was written since may have a revision seen before."""
-    monkeypatch.setattr(server_list, "_SETTLED_S", 1.0)
+    monkeypatch.setattr(server_list, "_REREAD_DELAY_S", 1.0)
     one = world.plain[0]
     copy = world.store.copy()
     for _ in range(5):
--- a/irisshelf/tests/test_store_updates.py
+++ b/irisshelf/tests/test_store_updates.py
@@ -41,9 +41,9 @@
         self.member = roster_module.Member(
             name=name, address=self.datagrams.address, data_centre="a"
         )
-        self.roster = roster_module.Roster(own=self.member)
-        self.updates = store_updates.Updates(
-            datagrams=self.datagrams, roster=self.roster, log=log
+        self.membership = roster_module.Roster(own=self.member)
+        self.updates = store_updates.StoreUpdates(
+            datagrams=self.datagrams, membership=self.membership, log=log
         )
         self.inst = instance.Instance(
             cfg=settings.Settings(
@@ -84,7 +84,7 @@
         for other in everyone:
             # From now on, whatever the test lasts.
             later_s = boottime.now() + 60.0
-            one.roster.heard(other.member, later_s)
+            one.membership.heard(other.member, later_s)
 
 
 def _wait(until):
@@ -150,7 +150,7 @@
 def test_an_update_arrives_as_it_was(pair, update):
     taken = []
     pair[1].updates.subscribe(taken.append)
-    pair[0].updates.tell(update)
+    pair[0].updates.broadcast(update)
     _wait(lambda: taken)
     assert taken == [update]
 
@@ -161,7 +161,7 @@
     update = shared_watch.ServersUpdate(
         store_s=1.0, since=_at(80), position=_at(90), changes=_changes(60)
     )
-    pair[0].updates.tell(update)
+    pair[0].updates.broadcast(update)
     _wait(lambda: taken)
     verdict = shared_watch.judge_servers(taken[0], _at(85))
     assert verdict is shared_watch.Verdict.FETCH
@@ -182,14 +182,14 @@
     taken = []
     pair[1].updates.subscribe(taken.append)
     for _ in range(2):
-        pair[1].datagrams.take(_KIND + cbor2.dumps(content))
+        pair[1].datagrams.dispatch(_KIND + cbor2.dumps(content))
     assert (taken, pair[1].problems) == ([], ["news_unreadable"])
 
 
 def test_updates_of_another_data_centre_are_left(pair):
     taken = []
     pair[1].updates.subscribe(taken.append)
-    pair[1].datagrams.take(_KIND + cbor2.dumps(["b", 0, 1.0, 0, 1, 1]))
+    pair[1].datagrams.dispatch(_KIND + cbor2.dumps(["b", 0, 1.0, 0, 1, 1]))
     assert (taken, pair[1].problems) == ([], [])
 
 
@@ -277,7 +277,7 @@
     now_s = boottime.now()
     for one in others:
         # The stand-in's clock is the machine's.
-        one.follower.take_update(
+        one.follower.apply_update(
             shared_watch.CatalogUpdate(
                 store_s=now_s, version=1, position=_at(10**6, era=0)
             )
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -25,10 +25,10 @@
 from irisshelf.gateway import settings
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 from irisshelf.gateway.knowledge import follower
-from irisshelf.gateway.knowledge import neighbours
+from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.gateway.knowledge import store_updates
 from irisshelf.gateway.knowledge import table_relay
-from irisshelf.gateway.knowledge import whole_table
+from irisshelf.gateway.knowledge import table_snapshot
 from irisshelf.observe import decision_log
 from irisshelf.platform import http_dialect
 from irisshelf.platform import store_feed
@@ -61,13 +61,13 @@
             address=self.datagrams.address,
             data_centre="a",
         )
-        self.neighbours = neighbours.Neighbours(
+        self.peers = peer_discovery.PeerDiscovery(
             own=self.member, seeds=(), log=self.log
         )
         self.listener = listener.Listener(
             address=self.datagrams.address,
             limits=lambda: _LIMITS,
-            handle=self.neighbours.handle,
+            handle=self.peers.handle,
             refuse=lambda status, text: ([], text.encode()),
             log=self.log,
         )
@@ -78,9 +78,9 @@
             log=self.log,
             rng=random.Random(name),
         )
-        self.updates = store_updates.Updates(
+        self.updates = store_updates.StoreUpdates(
             datagrams=self.datagrams,
-            roster=self.neighbours.roster,
+            membership=self.peers.membership,
             log=self.log,
         )
         self.feed = store_feed.StoreFeed(address=store_address)
@@ -88,7 +88,7 @@
             inst=self.inst,
             store=self.feed,
             updates=self.updates,
-            neighbours=self.neighbours,
+            peers=self.peers,
         )
         self._greenlets = [gevent.spawn(self.datagrams.run)]
 
@@ -139,7 +139,7 @@
         for other in everyone:
             # From now on, whatever the test lasts.
             later_s = boottime.now() + 60.0
-            one.neighbours.roster.heard(other.member, later_s)
+            one.peers.membership.heard(other.member, later_s)
 
 
 def _wait(until):
@@ -252,7 +252,7 @@
     watcher = _watcher(everyone)
     if lost == "dead":
         watcher.listener.stop_accepting()
-        monkeypatch.setattr(watcher.neighbours, "handle", _drop)
+        monkeypatch.setattr(watcher.peers, "handle", _drop)
     answers = {
         "dead": lambda fields: None,
         "silent": lambda fields: gevent.sleep(60),
@@ -260,7 +260,7 @@
         "garbled": lambda fields: b"no table",
     }
     for path in ("/catalog", "/servers"):
-        watcher.neighbours.answer_with(path, answers[lost])
+        watcher.peers.register_handler(path, answers[lost])
     served.put("op", "config", _config(2))
     bound_s = watcher.inst.cfg.bounds.catalog_in_force_ms / 1000
     gevent.sleep(bound_s)
@@ -278,25 +278,25 @@
     everyone = make_fleet()
     _start(everyone)
     watcher = _watcher(everyone)
-    held = watcher.follower.tables.operators.stored
+    held = watcher.follower.tables.operators.stored_catalog
     other = store.encode(_config(2, routes=3))
-    wanted = whole_table.Wanted(
+    wanted = table_snapshot.MinimumVersion(
         position=position.Position(era=0, revision=0),
         version=2,
         digest=held.digest,
     )
     reader = next(one for one in everyone if one is not watcher)
-    message = whole_table.Message(
+    message = table_snapshot.Message(
         era=0,
         revision=99,
         store_s=1.0,
         clock_s=1.0,
-        catalog=whole_table.pack(other),
+        catalog=table_snapshot.compress(other),
     )
     for one in everyone:
         if one is not reader:
-            one.neighbours.answer_with(
-                "/catalog", lambda fields: whole_table.encode(message)
+            one.peers.register_handler(
+                "/catalog", lambda fields: table_snapshot.encode(message)
             )
     handing = reader.follower._relay
     handed = handing.fetch(_CATALOG, wanted, within_s=0.5)
@@ -325,8 +325,8 @@
     gone = directory.Change(entry_id="s1", server=None)
     one.inst.directory.lapse([gone], back_s=boottime.now())
     assert one.inst.directory.get("s1") is not None
-    data = one.follower._relay._pack(_SERVERS)
-    assert whole_table.decode(data).servers == []
+    data = one.follower._relay._encode_table(_SERVERS)
+    assert table_snapshot.decode(data).servers == []
 
 
 def test_coldness_is_relayed_as_what_is_left(make_fleet, served, one_server):
@@ -335,8 +335,8 @@
     everyone = make_fleet()
     _start(everyone)
     gevent.sleep(0.5)
-    data = everyone[0].follower._relay._pack(_SERVERS)
-    (row,) = whole_table.decode(data).servers
+    data = everyone[0].follower._relay._encode_table(_SERVERS)
+    (row,) = table_snapshot.decode(data).servers
     assert 50.0 < row.cold_s <= 59.5
 
 
@@ -347,7 +347,7 @@
 def test_a_question_that_cannot_be_read_gets_no_answer(make_fleet, query):
     one = make_fleet(1)[0]
     fields = dict([query.split("=")])
-    assert one.follower._relay._answers(_CATALOG)(fields) is None
+    assert one.follower._relay._request_handler(_CATALOG)(fields) is None
     assert one.told("question_unreadable")
 
 
@@ -370,13 +370,13 @@
 )
 def test_bytes_that_are_no_table_are_an_error(data):
     with pytest.raises(ValueError):
-        whole_table.decode(data)
+        table_snapshot.decode(data)
 
 
 def test_a_table_without_end_is_an_error(monkeypatch):
-    monkeypatch.setattr(whole_table, "_MOST_BYTES", 1000)
+    monkeypatch.setattr(table_snapshot, "_MAX_DECOMPRESSED_BYTES", 1000)
     with pytest.raises(ValueError, match="longer than 1000"):
-        whole_table.unpack(zlib.compress(b"x" * 1001))
+        table_snapshot.decompress(zlib.compress(b"x" * 1001))
 
 
 # The tree, and clocks that are heard of.
