--- a/irisshelf/gateway/knowledge/__init__.py
+++ b/irisshelf/gateway/knowledge/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance learns: from the shared store, and from other instances."""
+"""State received from the shared store and from other instances."""
--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -1,12 +1,13 @@
-"""Tells other instances which contents servers ended under.
+"""Tells other instances under which request contents servers crashed.
 
-Repeats come to any instance of any data centre. So each end is told at once, to
-all instances of the own data centre and to a few of each other one, which tell
-theirs; and once more a moment later, as datagrams get lost. An instance that
-has just started asks a neighbour for all that is known.
+A caller may repeat a request at any instance of any data centre. So each crash
+is sent at once to all instances of the own data centre and to a few of each
+other data centre, which forward it within theirs. It is sent once more a moment
+later, because datagrams get lost. An instance that has just started asks a peer
+for all known crashes.
 
-An end is told in 60 bytes to each instance, twice; nothing is sent as long as
-no server ends under a request.
+A message takes 60 bytes and is sent twice to each instance; nothing is sent as
+long as no server crashes under a request.
 """
 
 from __future__ import annotations
@@ -28,38 +29,39 @@
 from irisshelf.routing import suspects
 
 _KIND = datagrams_module.Kind.CRASHES
-# Where an instance answers ``CrashGossip.all``.
+# Path at which an instance serves ``CrashGossip.snapshot``.
 SNAPSHOT_PATH = "/crashes"
-_AGAIN_S = 0.4
-# Instances of each other data centre that are told.
-_ABROAD = 3
-# A datagram on the way for longer than this is out of its time.
-_OLDEST_MS = 10_000
-_CATCH_UP_PAUSE_S = 0.5
-_CATCH_UP_TRIES = 20
-
-_Content = Annotated[bytes, msgspec.Meta(min_length=16, max_length=16)]
+_RESEND_DELAY_S = 0.4
+# Number of instances that are told in each other data centre.
+_REMOTE_FAN_OUT = 3
+# Messages about older events are dropped as delayed.
+_MAX_AGE_MS = 10_000
+_CATCH_UP_RETRY_DELAY_S = 0.5
+_CATCH_UP_ATTEMPTS = 20
+
+_Fingerprint = Annotated[bytes, msgspec.Meta(min_length=16, max_length=16)]
 _Server = Annotated[bytes, msgspec.Meta(min_length=1, max_length=16)]
 _AgeMs = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
 class _Message(msgspec.Struct, array_like=True):
-    content: _Content
-    # The server that ended; none for a good answer.
+    # Request fingerprint.
+    fingerprint: _Fingerprint
+    # The server that crashed; None if the request was answered without a crash.
     server: _Server | None
     age_ms: _AgeMs
-    # Whether the reader tells its own data centre.
+    # Whether the receiver forwards the message within its data centre.
     relay: bool
 
 
 class CrashGossip:
-    """Sends and takes ends of servers.
+    """Exchanges server crashes with other instances.
 
     Args:
-        crashes: What this instance knows.
-        datagrams: Carries messages.
+        crashes: The crashes that this instance knows of.
+        datagrams: Carries the messages.
         membership: The other instances.
-        log: Takes what cannot be read.
+        log: Receives decoding errors.
     """
 
     def __init__(
@@ -74,97 +76,105 @@
         self._crashes = crashes
         self._datagrams = datagrams
         self._membership = membership
-        crashes.on_end = self._tell_end
-        crashes.on_good = self._tell_good
+        crashes.on_end = self._publish_crash
+        crashes.on_good = self._publish_good_answer
         datagrams.subscribe(_KIND, self.receive)
 
     def receive(self, content: Any) -> None:
-        """Takes what a datagram holds.
+        """Handles the content of a datagram.
 
         Raises:
-            ValueError: It is none.
+            ValueError: The content is not a valid message.
         """
         message = msgspec.convert(content, _Message)
-        if message.age_ms > _OLDEST_MS:
+        if message.age_ms > _MAX_AGE_MS:
             return
         if message.relay:
             message.relay = False
-            self._send_home(_encode(message))
-        # Whether a server has ended is asked of it, and others wait meanwhile.
+            self._send_locally(_encode(message))
+        # Probes the server that is said to have crashed, which would block the
+        # receive loop.
         gevent.spawn(self._apply, message)
 
-    def catch_up(self, ask: Callable[[], bytes | None]) -> None:
-        """Asks a neighbour for all that is known, until one has answered.
+    def catch_up(self, request_snapshot: Callable[[], bytes | None]) -> None:
+        """Fetches all known crashes from a peer, retrying until one answers.
 
         Args:
-            ask: Returns a neighbour's ``all``; None if there was no answer.
+            request_snapshot: Returns a peer's ``snapshot``; None if there was
+                no answer.
         """
-        for _ in range(_CATCH_UP_TRIES):
-            data = ask()
+        for _ in range(_CATCH_UP_ATTEMPTS):
+            data = request_snapshot()
             if data is not None:
-                self._take_all(data)
+                self._apply_snapshot(data)
                 return
-            gevent.sleep(_CATCH_UP_PAUSE_S)
+            gevent.sleep(_CATCH_UP_RETRY_DELAY_S)
 
     def snapshot(self, fields: Mapping[str, str] | None = None) -> bytes:
-        """Returns all that is known, for ``catch_up``.
+        """Encodes all known crashes, for ``catch_up``.
 
         Args:
-            fields: Of the question; there is nothing to choose.
+            fields: Query parameters; ignored.
         """
         now = boottime.now()
         rows = [
-            (content, end.server, int((now - end.at_s) * 1000))
-            for content, ends in self._crashes.suspects.all(now).items()
-            for end in ends
+            (fingerprint, crash.server, int((now - crash.at_s) * 1000))
+            for fingerprint, crashes in self._crashes.suspects.all(now).items()
+            for crash in crashes
         ]
         return cbor2.dumps(rows)
 
-    def _take_all(self, data: bytes) -> None:
+    def _apply_snapshot(self, data: bytes) -> None:
         now = boottime.now()
         try:
             rows = msgspec.convert(
-                cbor2.loads(data), list[tuple[_Content, _Server, _AgeMs]]
+                cbor2.loads(data), list[tuple[_Fingerprint, _Server, _AgeMs]]
             )
         except (ValueError, TypeError, cbor2.CBORDecodeError) as exc:
             self._log.problem("crashes_unreadable", detail=str(exc))
             return
-        for content, server, age_ms in rows:
-            end = suspects.End(server=server, at_s=now - age_ms / 1000)
-            self._crashes.caught_up(content, end)
+        for fingerprint, server, age_ms in rows:
+            crash = suspects.End(server=server, at_s=now - age_ms / 1000)
+            self._crashes.caught_up(fingerprint, crash)
 
     def _apply(self, message: _Message) -> None:
         if message.server is None:
-            self._crashes.heard_good(message.content)
+            self._crashes.heard_good(message.fingerprint)
             return
         at_s = boottime.now() - message.age_ms / 1000
-        end = suspects.End(server=message.server, at_s=at_s)
-        self._crashes.heard_end(message.content, end)
-
-    def _tell_end(self, content: bytes, end: suspects.End) -> None:
-        self._tell(content, end.server, end.at_s)
-
-    def _tell_good(self, content: bytes) -> None:
-        self._tell(content, None, boottime.now())
-
-    def _tell(self, content: bytes, server: bytes | None, at_s: float) -> None:
-        self._send(content, server, at_s)
-        gevent.spawn_later(_AGAIN_S, self._send, content, server, at_s)
-
-    def _send(self, content: bytes, server: bytes | None, at_s: float) -> None:
+        crash = suspects.End(server=message.server, at_s=at_s)
+        self._crashes.heard_end(message.fingerprint, crash)
+
+    def _publish_crash(self, fingerprint: bytes, crash: suspects.End) -> None:
+        self._publish(fingerprint, crash.server, crash.at_s)
+
+    def _publish_good_answer(self, fingerprint: bytes) -> None:
+        self._publish(fingerprint, None, boottime.now())
+
+    def _publish(
+        self, fingerprint: bytes, server: bytes | None, at_s: float
+    ) -> None:
+        self._send(fingerprint, server, at_s)
+        gevent.spawn_later(
+            _RESEND_DELAY_S, self._send, fingerprint, server, at_s
+        )
+
+    def _send(
+        self, fingerprint: bytes, server: bytes | None, at_s: float
+    ) -> None:
         age_ms = int((boottime.now() - at_s) * 1000)
-        message = _Message(content, server, age_ms, relay=False)
-        self._send_home(_encode(message))
+        message = _Message(fingerprint, server, age_ms, relay=False)
+        self._send_locally(_encode(message))
         message.relay = True
         data = _encode(message)
-        told: dict[str, int] = {}
+        sent: dict[str, int] = {}
         for member in self._membership.elsewhere(boottime.now()):
-            count = told.get(member.data_centre, 0)
-            if count < _ABROAD:
-                told[member.data_centre] = count + 1
+            count = sent.get(member.data_centre, 0)
+            if count < _REMOTE_FAN_OUT:
+                sent[member.data_centre] = count + 1
                 self._datagrams.send(member.address, data)
 
-    def _send_home(self, data: bytes) -> None:
+    def _send_locally(self, data: bytes) -> None:
         own = self._membership.own.data_centre
         for member, _ in self._membership.members(own, boottime.now()):
             self._datagrams.send(member.address, data)
--- a/irisshelf/gateway/knowledge/datagrams.py
+++ b/irisshelf/gateway/knowledge/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of CBOR between instances, over one socket for all their kinds."""
+"""CBOR datagrams between instances; one UDP socket serves all kinds."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from irisshelf.observe import decision_log
 
-# One Ethernet frame, less the headers.
+# One Ethernet frame less the headers, so that datagrams are not fragmented.
 MAX_DATAGRAM_BYTES = 1400
-_PAUSE_S = 0.25
+_RETRY_DELAY_S = 0.25
 
 
 class Kind(enum.IntEnum):
-    """What a datagram is about; its first byte."""
+    """Type of a datagram's content, sent as its first byte."""
 
     SERVER_FACTS = 1
     STORE_UPDATE = 2
@@ -26,11 +26,11 @@
 
 
 class Datagrams:
-    """Sends datagrams, and hands out those that come.
+    """Sends datagrams and dispatches received ones to their handlers.
 
     Args:
-        address: Where to listen, IP number and port.
-        log: Takes what goes wrong.
+        address: IP address and port to bind to.
+        log: Receives decoding and socket errors.
     """
 
     def __init__(self, *, address: str, log: decision_log.DecisionLog):
@@ -43,56 +43,60 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Address that the socket is bound to."""
         host, port = self._sock.getsockname()
         return f"{host}:{port}"
 
-    def subscribe(self, kind: Kind, taker: Callable[[Any], None]) -> None:
-        """Names who takes a kind of datagram.
+    def subscribe(self, kind: Kind, handler: Callable[[Any], None]) -> None:
+        """Registers the handler for one kind of datagram.
 
         Args:
             kind: The kind.
-            taker: Takes the decoded content; raises ValueError or TypeError if
-                it is not what it should be.
+            handler: Receives the decoded content; raises ValueError or
+                TypeError if the content is invalid.
         """
-        self._handlers[kind] = taker
+        self._handlers[kind] = handler
 
     def send(self, address: str, data: bytes) -> None:
-        """Sends what ``encode`` returned; it may be lost."""
+        """Sends the bytes from ``encode``; delivery is not guaranteed."""
         host, _, port = address.rpartition(":")
         try:
             self._sock.sendto(data, (host, int(port)))
         except OSError:
-            # As good as lost on the way, which is borne anyway.
+            # Equivalent to a lost datagram, which receivers tolerate.
             return
 
     def dispatch(self, data: bytes) -> None:
-        """Takes one datagram."""
+        """Decodes one datagram and passes it to its handler."""
         kind = data[0] if data else None
-        taker = self._handlers.get(kind)
+        handler = self._handlers.get(kind)
         try:
-            if taker is None:
-                raise ValueError(f"kind {kind!r}, allowed: {list(Kind)}")
-            taker(cbor2.loads(data[1:]))
+            if handler is None:
+                raise ValueError(
+                    f"datagram kind is {kind!r}, allowed: {list(Kind)}"
+                )
+            handler(cbor2.loads(data[1:]))
         except (ValueError, TypeError, cbor2.CBORDecodeError) as exc:
             if kind not in self._logged_kinds:
-                # Said once a kind: a stranger may send any number of them.
+                # Logged once per kind: unauthenticated senders could otherwise
+                # flood the log.
                 self._logged_kinds.add(kind)
                 self._log.problem("news_unreadable", detail=str(exc))
 
     def run(self) -> None:
-        """Takes datagrams as long as the process lives."""
+        """Receives datagrams until the greenlet is killed."""
         while True:
             try:
                 data, _ = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError as exc:
-                # A refusal from a port that is closed now; others go on.
+                # Typically ECONNREFUSED, reported for a peer whose port is
+                # closed; datagrams from other peers still arrive.
                 self._log.problem("news_not_received", detail=str(exc))
-                gevent.sleep(_PAUSE_S)
+                gevent.sleep(_RETRY_DELAY_S)
                 continue
             self.dispatch(data)
 
 
 def encode(kind: Kind, content: Any) -> bytes:
-    """Returns a datagram's bytes."""
+    """Encodes content as a datagram of the given kind."""
     return bytes([kind]) + cbor2.dumps(content)
--- a/irisshelf/gateway/knowledge/fact_gossip.py
+++ b/irisshelf/gateway/knowledge/fact_gossip.py
@@ -1,10 +1,11 @@
 """Facts about backend servers, exchanged between instances as datagrams.
 
-Each instance sends what it has just learnt from servers' answers to the first
-instance of its data centre, as a datagram of CBOR. That one gathers, tells all
-of its data centre, and one instance of each other data centre, four times a
-second at the most. So datagrams grow with the instances, not with their
-square. A lost one is made good by the next facts about the same server.
+Each instance sends what it has just learnt from servers' responses to the
+leader of its data centre, as a CBOR datagram. The leader batches these facts
+and sends them to all instances of its data centre, and to one instance of each
+other data centre, at most four times a second. So the number of datagrams grows
+linearly with the number of instances, not quadratically. A lost datagram is
+superseded by the next facts about the same server.
 """
 
 from __future__ import annotations
@@ -27,22 +28,22 @@
 from irisshelf.coordination import roster as roster_module
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 
-# Answers last a second or so; what is told is a fraction of that old.
+# Responses take about a second; batched facts are a fraction of that old.
 _TICK_S = 0.25
-_MOST_LOADS = 40
-_MOST_COLDS = 20
-_MOST_PAUSES = 20
-# Bytes of a datagram by what it holds, at the most: its head, a load, a part of
-# a prompt, and its server's key where that is the first of the server's.
-_HEAD_BYTES = 60
+_MAX_LOADS = 40
+_MAX_COLDS = 20
+_MAX_PAUSES = 20
+# Upper bounds of encoded sizes: the header, a load (a cold start and a pause
+# take no more), a prompt part, and a server's key before its first part.
+_HEADER_BYTES = 60
 _LOAD_BYTES = 16
 _PART_BYTES = 6
 _SERVER_BYTES = 9
-# Parts that may wait for the next datagram; the oldest are dropped.
-_MOST_WAITING = 1000
-# Facts are older than this only if something is wrong with a clock or a link.
-_OLDEST_MS = 5000
-# A server with less than no work would draw all requests.
+# Parts queued for the next datagrams; beyond this the oldest are dropped.
+_MAX_QUEUED_PARTS = 1000
+# Facts older than this indicate a faulty clock or link, and are dropped.
+_MAX_AGE_MS = 5000
+# A server with a negative load would attract all requests.
 _Work = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 _Ms = Annotated[int, msgspec.Meta(ge=0, le=86_400_000)]
 
@@ -50,9 +51,16 @@
 
 
 class _Hop(enum.IntEnum):
-    """How a message has come so far."""
+    """Stage of a message's route, and so what its receiver does with it.
 
-    TO_RELAY = 0
+    Attributes:
+        TO_LEADER: For the leader, which batches the facts for its whole data
+            centre. Any other receiver forwards the message to the leader.
+        FORWARDED: For the leader too, but already forwarded once.
+        TO_ALL: From the leader to all instances, which do not forward it.
+    """
+
+    TO_LEADER = 0
     FORWARDED = 1
     TO_ALL = 2
 
@@ -60,23 +68,23 @@
 class _Message(msgspec.Struct, array_like=True):
     data_centre: str
     hop: _Hop
-    # Server's key, work, age in ms.
+    # Server's key, work (see ``facts.ServerLoad``), age in ms.
     loads: list[tuple[bytes, _Work, int]] = []
-    # Server's key and the keys of the parts of prompts that it has read.
+    # Server's key, and the keys of the prompt parts in its cache.
     holds: dict[bytes, list[bytes]] = {}
-    # Server's key, and how long it stays cold in ms.
+    # Server's key, and the remaining time of its cold start in ms.
     colds: list[tuple[bytes, _Ms]] = []
-    # Server's key, and for how long it takes no requests in ms.
+    # Server's key, and for how long it accepts no requests in ms.
     pauses: list[tuple[bytes, _Ms]] = []
 
 
 class _Outbox:
-    """Facts that wait to be sent."""
+    """Queue of facts to be sent."""
 
     def __init__(self):
         self.loads: dict[bytes, facts.ServerLoad] = {}
         self.holds: collections.deque[facts.PartHeld] = collections.deque(
-            maxlen=_MOST_WAITING
+            maxlen=_MAX_QUEUED_PARTS
         )
         self.colds: dict[bytes, facts.ServerCold] = {}
         self.pauses: dict[bytes, facts.ServerPause] = {}
@@ -86,7 +94,7 @@
 
     @functools.singledispatchmethod
     def add(self, fact: facts.Fact) -> None:
-        """Takes a fact; of loads the latest of each server."""
+        """Queues a fact; of the loads of a server only the latest is kept."""
         raise TypeError(f"fact is {fact!r}, allowed: {facts.Fact}")
 
     @add.register
@@ -108,7 +116,7 @@
         self.pauses[fact.server] = fact
 
     def all(self) -> list[facts.Fact]:
-        """Returns all facts."""
+        """Returns all queued facts."""
         return [
             *self.loads.values(),
             *self.holds,
@@ -117,20 +125,20 @@
         ]
 
     def take(self, data_centre: str, hop: _Hop) -> _Message:
-        """Takes what fits into a datagram; the rest waits for the next."""
+        """Dequeues as many facts as fit into one datagram."""
         now = boottime.now()
-        loads = _take(self.loads, _MOST_LOADS)
-        colds = _take(self.colds, _MOST_COLDS)
-        pauses = _take(self.pauses, _MOST_PAUSES)
+        loads = _dequeue(self.loads, _MAX_LOADS)
+        colds = _dequeue(self.colds, _MAX_COLDS)
+        pauses = _dequeue(self.pauses, _MAX_PAUSES)
         count = len(loads) + len(colds) + len(pauses)
-        left_bytes = datagrams_module.MAX_DATAGRAM_BYTES - _HEAD_BYTES
-        left_bytes -= _LOAD_BYTES * count
+        remaining_bytes = datagrams_module.MAX_DATAGRAM_BYTES - _HEADER_BYTES
+        remaining_bytes -= _LOAD_BYTES * count
         holds: dict[bytes, list[bytes]] = {}
-        while self.holds and left_bytes >= _PART_BYTES + _SERVER_BYTES:
+        while self.holds and remaining_bytes >= _PART_BYTES + _SERVER_BYTES:
             held = self.holds.popleft()
-            left_bytes -= _PART_BYTES
+            remaining_bytes -= _PART_BYTES
             if held.server not in holds:
-                left_bytes -= _SERVER_BYTES
+                remaining_bytes -= _SERVER_BYTES
             holds.setdefault(held.server, []).append(held.part)
         return _Message(
             data_centre=data_centre,
@@ -140,19 +148,19 @@
                 for n in loads
             ],
             holds=holds,
-            colds=[(c.server, _left_ms(c.until_s, now)) for c in colds],
-            pauses=[(p.server, _left_ms(p.until_s, now)) for p in pauses],
+            colds=[(c.server, _remaining_ms(c.until_s, now)) for c in colds],
+            pauses=[(p.server, _remaining_ms(p.until_s, now)) for p in pauses],
         )
 
 
 class FactGossip:
-    """Sends and takes facts.
+    """Exchanges facts with other instances.
 
     Args:
-        datagrams: Carries facts.
+        datagrams: Carries the messages.
         membership: The other instances.
-        on_fact: Takes what another instance tells.
-        rng: Chooses whom to tell in other data centres.
+        on_fact: Called with each fact that another instance has sent.
+        rng: Chooses the receivers in other data centres.
     """
 
     def __init__(
@@ -167,57 +175,57 @@
         self._membership = membership
         self._on_fact = on_fact
         self._rng = rng
-        # What comes from the own data centre, and what from elsewhere.
-        self._own = _Outbox()
-        self._foreign = _Outbox()
+        # Facts from the own data centre, and from other data centres.
+        self._local = _Outbox()
+        self._remote = _Outbox()
         datagrams.subscribe(datagrams_module.Kind.SERVER_FACTS, self.receive)
 
     def run(self) -> None:
-        """Sends facts as long as the process lives."""
+        """Sends queued facts until the greenlet is killed."""
         while True:
             gevent.sleep(_TICK_S)
             self.flush()
 
     def publish(self, fact: facts.Fact) -> None:
-        """Takes what this instance has just learnt."""
-        self._own.add(fact)
+        """Queues a fact that this instance has just learnt."""
+        self._local.add(fact)
 
     def flush(self) -> None:
-        """Sends the facts taken since the last time, if there are any."""
+        """Sends one datagram of queued facts per receiver, if there are any."""
         now = boottime.now()
         first = self._membership.first(now)
         if first is not None:
-            self._send_facts(self._own, _Hop.TO_RELAY, [first])
-            # Facts for others that came while this instance was the first.
-            self._send_facts(self._foreign, _Hop.FORWARDED, [first])
+            self._send_facts(self._local, _Hop.TO_LEADER, [first])
+            # Remote facts that were queued while this instance was the leader.
+            self._send_facts(self._remote, _Hop.FORWARDED, [first])
             return
         members = self._membership.members(
             self._membership.own.data_centre, now
         )
         everyone = [member for member, _ in members]
-        elsewhere = self._one_elsewhere()
-        self._send_facts(self._foreign, _Hop.TO_ALL, everyone)
-        self._send_facts(self._own, _Hop.TO_ALL, everyone, abroad=elsewhere)
+        remote = self._one_per_remote_data_centre()
+        self._send_facts(self._remote, _Hop.TO_ALL, everyone)
+        self._send_facts(self._local, _Hop.TO_ALL, everyone, remote=remote)
 
     def receive(self, content: Any) -> None:
-        """Takes what a datagram holds.
+        """Handles the content of a datagram.
 
         Raises:
-            ValueError: It holds no facts.
+            ValueError: The content is not a valid message.
         """
         message = msgspec.convert(content, _Message)
-        at_home = message.data_centre == self._membership.own.data_centre
-        told = _decode(message)
-        for fact in told:
+        is_local = message.data_centre == self._membership.own.data_centre
+        received = _decode(message)
+        for fact in received:
             self._on_fact(fact)
         if message.hop is _Hop.TO_ALL:
             return
         first = self._membership.first(boottime.now())
         if first is None:
-            outbox = self._own if at_home else self._foreign
-            for fact in told:
+            outbox = self._local if is_local else self._remote
+            for fact in received:
                 outbox.add(fact)
-        elif message.hop is _Hop.TO_RELAY:
+        elif message.hop is _Hop.TO_LEADER:
             message.hop = _Hop.FORWARDED
             self._datagrams.send(first.address, _encode(message))
 
@@ -227,7 +235,7 @@
         hop: _Hop,
         members: list[roster_module.Member],
         *,
-        abroad: Sequence[roster_module.Member] = (),
+        remote: Sequence[roster_module.Member] = (),
     ) -> None:
         if not outbox:
             return
@@ -235,25 +243,25 @@
         data = _encode(message)
         for member in members:
             self._datagrams.send(member.address, data)
-        message.hop = _Hop.TO_RELAY
+        message.hop = _Hop.TO_LEADER
         data = _encode(message)
-        for member in abroad:
+        for member in remote:
             self._datagrams.send(member.address, data)
 
-    def _one_elsewhere(self) -> list[roster_module.Member]:
-        """Returns one instance of each other data centre."""
-        found: dict[str, list[roster_module.Member]] = {}
+    def _one_per_remote_data_centre(self) -> list[roster_module.Member]:
+        """Picks one instance of each other data centre at random."""
+        by_data_centre: dict[str, list[roster_module.Member]] = {}
         for member in self._membership.elsewhere(boottime.now()):
-            found.setdefault(member.data_centre, []).append(member)
-        return [self._rng.choice(group) for group in found.values()]
+            by_data_centre.setdefault(member.data_centre, []).append(member)
+        return [self._rng.choice(group) for group in by_data_centre.values()]
 
 
-def _take(waiting: dict[bytes, _T], most: int) -> list[_T]:
-    """Removes the oldest facts, so many at the most."""
-    return [waiting.pop(server) for server in list(waiting)[:most]]
+def _dequeue(queued: dict[bytes, _T], limit: int) -> list[_T]:
+    """Removes and returns the oldest facts, at most ``limit`` of them."""
+    return [queued.pop(server) for server in list(queued)[:limit]]
 
 
-def _left_ms(until_s: float, now: float) -> int:
+def _remaining_ms(until_s: float, now: float) -> int:
     return max(0, int((until_s - now) * 1000))
 
 
@@ -263,19 +271,19 @@
 
 
 def _decode(message: _Message) -> list[facts.Fact]:
-    found = _Outbox()
+    decoded = _Outbox()
     now = boottime.now()
     for server, work, age_ms in message.loads:
-        if 0 <= age_ms <= _OLDEST_MS:
+        if 0 <= age_ms <= _MAX_AGE_MS:
             at_s = now - age_ms / 1000
-            found.add(facts.ServerLoad(server=server, work=work, at_s=at_s))
+            decoded.add(facts.ServerLoad(server=server, work=work, at_s=at_s))
     for server, parts in message.holds.items():
         for part in parts:
-            found.add(facts.PartHeld(server=server, part=part))
-    for server, left_ms in message.colds:
-        until_s = now + left_ms / 1000
-        found.add(facts.ServerCold(server=server, until_s=until_s))
-    for server, left_ms in message.pauses:
-        until_s = now + left_ms / 1000
-        found.add(facts.ServerPause(server=server, until_s=until_s))
-    return found.all()
+            decoded.add(facts.PartHeld(server=server, part=part))
+    for server, remaining_ms in message.colds:
+        until_s = now + remaining_ms / 1000
+        decoded.add(facts.ServerCold(server=server, until_s=until_s))
+    for server, remaining_ms in message.pauses:
+        until_s = now + remaining_ms / 1000
+        decoded.add(facts.ServerPause(server=server, until_s=until_s))
+    return decoded.all()
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -1,7 +1,7 @@
-"""Follows configuration and server list in the shared store.
+"""Follows the configuration and the server list in the shared store.
 
-An instance asks the store by itself, or reads what the watcher of its data
-centre was told; see ``coordination.shared_watch``.
+An instance polls the store itself, or applies updates from the watcher of its
+data centre; see ``coordination.shared_watch``.
 """
 
 from __future__ import annotations
@@ -21,16 +21,18 @@
 from irisshelf.gateway.knowledge import tables as tables_module
 from irisshelf.store import feed
 
-# Each try costs money, and an instance is to be back soon after the store.
+# A compromise: the store bills each request, and an instance should recover
+# soon after the store does.
 _BACKOFF_S = (0.1, 0.3, 0.6)
-# A reader is told by its watcher when the store is back.
+# Readers may back off for longer: their watcher tells them of the recovery.
 _BACKOFF_READER_S = (*_BACKOFF_S, 1.5)
-# All instances find the store away at the same moment.
+# Spreads retries, as all instances see the store fail at the same moment.
 _JITTER = (0.5, 1.5)
-_EXPIRE_EVERY_S = 0.2
-# Instances that start together answer each other after some tenths of a second.
-_FIRST_ANSWER_S = 0.6
-_FIRST_ANSWER_STEP_S = 0.02
+_EXPIRE_INTERVAL_S = 0.2
+# Instances that start together discover each other within some tenths of a
+# second.
+_PEERS_TIMEOUT_S = 0.6
+_PEERS_POLL_INTERVAL_S = 0.02
 
 
 class Follower:
@@ -38,10 +40,15 @@
 
     Args:
         inst: The instance.
-        store: Tables of the shared store.
+        store: Client of the shared store.
         updates: Updates between the instances of a data centre; without them
-            the store is asked by this instance alone.
-        peers: Hand tables on; without them all come from the store.
+            this instance always polls the store itself.
+        peers: Other instances, which relay snapshots; without them all data
+            comes from the store.
+
+    Attributes:
+        tables: The local copies of the store's tables.
+        change_counts: How many responses with changes were applied, per table.
     """
 
     def __init__(
@@ -55,7 +62,8 @@
         self._inst = inst
         self._store = store
         self._updates = updates
-        # Set as long as nothing speaks against it.
+        # Cleared by a failed request for the configuration, until the store is
+        # known to have recovered.
         self._up = event.Event()
         self._up.set()
         self._lost_s: float | None = None
@@ -75,7 +83,7 @@
             )
 
     def run(self, table: feed.Table) -> None:
-        """Follows a table as long as the process lives."""
+        """Follows a table until the greenlet is killed."""
         self._await_peers()
         failures = 0
         while True:
@@ -88,66 +96,66 @@
             if self.poll_once(table):
                 failures = 0
                 if self.change_counts[table] != seen:
-                    gevent.sleep(self._gather_s(table))
+                    gevent.sleep(self._coalesce_s(table))
                 continue
-            reads = self._role() is shared_watch.Role.READER
-            backoff_s = _BACKOFF_READER_S if reads else _BACKOFF_S
-            pause_s = backoff_s[min(failures, len(backoff_s) - 1)]
+            is_reader = self._role() is shared_watch.Role.READER
+            backoff_s = _BACKOFF_READER_S if is_reader else _BACKOFF_S
+            delay_s = backoff_s[min(failures, len(backoff_s) - 1)]
             failures += 1
-            pause_s *= self._inst.rng.uniform(*_JITTER)
+            delay_s *= self._inst.rng.uniform(*_JITTER)
             if watcher_silent:
-                # The watcher's first update says that the store is back; who
-                # sleeps on refuses callers.
-                self._updated[table].wait(pause_s)
+                # The watcher's first update shows that the store is back;
+                # until it is applied this instance rejects requests.
+                self._updated[table].wait(delay_s)
             else:
-                gevent.sleep(pause_s)
+                gevent.sleep(delay_s)
 
     def _await_peers(self) -> None:
-        """Waits until it shows whether there are many instances.
+        """Waits until another instance is known, or a timeout.
 
-        Where there are, they relay what all would read from the store at
-        once. The first answer tells; who gets none asks the store.
+        With many instances, they relay the snapshots that all would otherwise
+        read from the store at once. Without any, the store is read.
         """
         if self._relay is None or not self._inst.cfg.seeds:
             return
-        until_s = boottime.now() + _FIRST_ANSWER_S
-        while boottime.now() < until_s and not self._updates.has_peers():
-            gevent.sleep(_FIRST_ANSWER_STEP_S)
+        deadline_s = boottime.now() + _PEERS_TIMEOUT_S
+        while boottime.now() < deadline_s and not self._updates.has_peers():
+            gevent.sleep(_PEERS_POLL_INTERVAL_S)
 
     def poll_once(self, table: feed.Table) -> bool:
-        """Makes one call; returns whether it was answered."""
-        if self._take_relayed(table):
+        """Polls a table once; returns whether that succeeded."""
+        if self._fetch_from_peer(table):
             return True
         sent_s = boottime.now()
         watch = self.tables.watches[table]
         after = watch.position
         if table is feed.Table.CATALOG and watch.reads_newest_alone(sent_s):
             after = None
-        wait_s = self._wait_s(table, sent_s)
+        wait_s = self._long_poll_s(table, sent_s)
         watch.asked()
         if after is None:
-            answer = self._store.whole(table)
+            response = self._store.whole(table)
         else:
-            answer = self._store.changes(table, after=after, wait_s=wait_s)
-        ended = "ok" if answer.is_ok() else "failed"
-        self._inst.metrics.store_calls.labels(table.value, ended).inc()
-        if isinstance(answer, result.Ok):
+            response = self._store.changes(table, after=after, wait_s=wait_s)
+        outcome = "ok" if response.is_ok() else "failed"
+        self._inst.metrics.store_calls.labels(table.value, outcome).inc()
+        if isinstance(response, result.Ok):
             if table is feed.Table.CATALOG:
-                self._log_catalog_answer(after, answer.ok_value, sent_s)
-            self._answered(table, answer.ok_value, sent_s)
+                self._log_catalog_answer(after, response.ok_value, sent_s)
+            self._handle_response(table, response.ok_value, sent_s)
             return True
-        if isinstance(answer.err_value, feed.HistoryLost):
+        if isinstance(response.err_value, feed.HistoryLost):
             self._inst.log.problem(
                 "store_history_lost", table=table.value, after=str(after)
             )
             watch.forgotten()
             return True
         watch.failed()
-        self._failed(table, answer.err_value)
+        self._handle_failure(table, response.err_value)
         return False
 
     def apply_update(self, update: shared_watch.Update) -> None:
-        """Takes what the watcher of the data centre was told."""
+        """Applies an update from the watcher of the data centre."""
         now = boottime.now()
         as_of_s = self._inst.freshness.time_of(
             update.store_s, now, update.position.era
@@ -156,83 +164,84 @@
         table = update.table
         self._updated[table].set()
         self._inst.metrics.store_updates.labels(verdict.name.lower()).inc()
-        self._wake_askers()
+        self._notify_relay()
         confirmed = (
             table is feed.Table.CATALOG
             and verdict is shared_watch.Verdict.CURRENT
         )
         if confirmed and self._lost_s is not None and as_of_s > self._lost_s:
-            self._regained(now)
+            self._handle_recovery(now)
 
-    def _wake_askers(self) -> None:
-        """Lets those know who wait for this instance to hand something on."""
+    def _notify_relay(self) -> None:
+        """Wakes relay requests that wait for a newer table version."""
         if self._relay is not None:
             self._relay.notify_changed()
 
-    def _take_relayed(self, table: feed.Table) -> bool:
-        """Takes a whole table from another instance, if one has it.
+    def _fetch_from_peer(self, table: feed.Table) -> bool:
+        """Fetches and applies a snapshot from another instance, if possible.
 
-        Asked for is what the watcher has told of, and what an instance lacks
-        that has just begun. A whole list of servers, packed, is shorter than a
-        data centre's changes as the store tells them.
+        That is done for versions that the watcher has announced, and for a
+        table of which an instance that has just started has no copy. A
+        compressed snapshot of the list of servers is shorter than the changes
+        of one data centre in the store's format.
         """
-        wanted = self.tables.take_missing(table)
-        reads = self._role() is shared_watch.Role.READER
-        if self._relay is None or not reads:
+        minimum = self.tables.take_missing(table)
+        is_reader = self._role() is shared_watch.Role.READER
+        if self._relay is None or not is_reader:
             return False
         watch = self.tables.watches[table]
         starting = self.tables.as_of(table) is None
-        if not starting and wanted is None:
+        if not starting and minimum is None:
             return False
-        within_s = store_timing.relay_timeout_s(
+        timeout_s = store_timing.relay_timeout_s(
             self._inst.cfg.bounds, starting=starting
         )
         watch.asked()
-        relayed = self._relay.fetch(table, wanted, within_s=within_s)
-        if relayed is None:
+        snapshot = self._relay.fetch(table, minimum, timeout_s=timeout_s)
+        if snapshot is None:
             watch.failed()
             return False
-        taken = self.tables.apply_snapshot(table, relayed, boottime.now())
-        self._wake_askers()
-        return taken
+        is_newer = self.tables.apply_snapshot(table, snapshot, boottime.now())
+        self._notify_relay()
+        return is_newer
 
     def _role(self) -> shared_watch.Role:
-        shares = self._updates is not None
-        if not (shares and self._inst.cfg.policy.shared_watch):
+        can_share = self._updates is not None
+        if not (can_share and self._inst.cfg.policy.shared_watch):
             return shared_watch.Role.ALONE
         return self._updates.role()
 
     def _wait_until_due(self, table: feed.Table) -> None:
-        """Returns when the store has to be asked by this instance."""
+        """Waits until this instance has to poll the store itself."""
         watch = self.tables.watches[table]
         updated = self._updated[table]
         while True:
             timing = store_timing.watch_timing(self._inst.cfg.bounds)
             until_s = watch.rests_until_s(self._role(), timing)
-            left_s = until_s - boottime.now()
-            if left_s <= 0:
+            remaining_s = until_s - boottime.now()
+            if remaining_s <= 0:
                 return
             updated.clear()
-            updated.wait(left_s)
+            updated.wait(remaining_s)
 
-    def _gather_s(self, table: feed.Table) -> float:
-        """Returns how long to wait after changes, in seconds.
+    def _coalesce_s(self, table: feed.Table) -> float:
+        """Returns how long to coalesce changes before the next poll.
 
-        Counted from the moment that the store spoke of: what a long
-        configuration took to transfer has been waited for.
+        In seconds, counted from the moment at which the response was current,
+        so that the transfer time of a long configuration is part of the wait.
         """
         cfg = self._inst.cfg
         if not cfg.policy.gathering:
             return 0.0
-        pause_s = store_timing.coalesce_s(table, cfg.bounds, self._role())
+        delay_s = store_timing.coalesce_s(table, cfg.bounds, self._role())
         if table is feed.Table.CATALOG:
-            pause_s -= self._inst.freshness.age_s(boottime.now())
-        return max(pause_s, 0.0)
+            delay_s -= self._inst.freshness.age_s(boottime.now())
+        return max(delay_s, 0.0)
 
-    def _wait_s(self, table: feed.Table, now: float) -> float:
-        """Returns how long the store may hold the next call."""
+    def _long_poll_s(self, table: feed.Table, now: float) -> float:
+        """Returns the long-poll timeout of the next request, in seconds."""
         if self._lost_s is not None:
-            # After trouble, what the store knows now is wanted at once.
+            # After an outage the current state is needed at once.
             return 0.0
         bounds = self._inst.cfg.bounds
         return self.tables.watches[table].hold_s(
@@ -243,35 +252,35 @@
         )
 
     def expire_lapsed(self) -> None:
-        """Drops servers whose lapsed entries have not come back."""
+        """Drops lapsed entries and closes idle connections, periodically."""
         while True:
-            gevent.sleep(_EXPIRE_EVERY_S)
+            gevent.sleep(_EXPIRE_INTERVAL_S)
             self._inst.servers.links.expire()
             if not self._up.is_set():
                 continue
             now = boottime.now()
             self.tables.expire(now)
 
-    def _answered(
+    def _handle_response(
         self, table: feed.Table, batch: feed.Batch, sent_s: float
     ) -> None:
         now = boottime.now()
         if table is feed.Table.CATALOG:
-            self._regained(now)
+            self._handle_recovery(now)
         before = self._inst.catalog
         newest = self.tables.apply_answer(table, batch, sent_s, now)
-        self._wake_askers()
+        self._notify_relay()
         if not batch.complete:
-            # The rest is asked for at once, and nobody is told that this was
-            # all: keys would hold by the age of what has not been read.
+            # The rest is requested at once. Readers get no update, which would
+            # confirm keys as of a state that has not been read.
             return
-        # A configuration that was in force may come again; it is no change that
-        # others may follow.
-        again = batch.whole and table is feed.Table.CATALOG
-        if batch.items and not (again and self._inst.catalog is before):
+        # A snapshot may repeat the configuration in force, which is no change
+        # after which to coalesce.
+        snapshot = batch.whole and table is feed.Table.CATALOG
+        if batch.items and not (snapshot and self._inst.catalog is before):
             self.change_counts[table] += 1
         if newest and self._role() is shared_watch.Role.WATCHER:
-            self._tell(table, batch, now)
+            self._broadcast(table, batch, now)
 
     def _log_catalog_answer(
         self,
@@ -279,7 +288,7 @@
         batch: feed.Batch,
         sent_s: float,
     ) -> None:
-        """Logs what a new configuration took to get here."""
+        """Logs the timing and size of a response with a configuration."""
         if not batch.items:
             return
         self._inst.log.instance(
@@ -295,13 +304,17 @@
             as_of_store_s=round(batch.store_s, 3),
         )
 
-    def _tell(self, table: feed.Table, batch: feed.Batch, now: float) -> None:
-        """Tells the readers what the store has just answered."""
+    def _broadcast(
+        self, table: feed.Table, batch: feed.Batch, now: float
+    ) -> None:
+        """Broadcasts the store's latest response to the readers."""
         update = self.tables.make_update(table, batch, now)
         if update is not None:
             self._updates.broadcast(update)
 
-    def _failed(self, table: feed.Table, failure: feed.Unavailable) -> None:
+    def _handle_failure(
+        self, table: feed.Table, failure: feed.Unavailable
+    ) -> None:
         if self._lost_s is None:
             self._lost_s = boottime.now()
             self.tables.servers.on_store_lost()
@@ -311,28 +324,28 @@
             )
         if table is not feed.Table.CATALOG:
             return
-        self._note_outage()
+        self._record_outage()
         if self._up.is_set():
             self._up.clear()
-            # What the other call hears may be as dead.
+            # The long poll of the other table may be on a dead connection too.
             self._store.reset(feed.Table.SERVERS)
 
-    def _note_outage(self) -> None:
-        """Notes that neither this instance nor its watcher has the store."""
+    def _record_outage(self) -> None:
+        """Records that neither this instance nor its watcher has the store."""
         if self._watcher_is_silent(feed.Table.CATALOG):
             now = boottime.now()
             age_s = self._inst.freshness.age_s(now)
             self._inst.outage_since_s = now - age_s
 
     def _watcher_is_silent(self, table: feed.Table) -> bool:
-        """Tells whether this instance reads, and its watcher is silent."""
+        """Whether this instance is a reader and its watcher is silent."""
         timing = store_timing.watch_timing(self._inst.cfg.bounds)
-        reads = self._role() is shared_watch.Role.READER
-        return reads and self.tables.watches[table].is_silent(
+        is_reader = self._role() is shared_watch.Role.READER
+        return is_reader and self.tables.watches[table].is_silent(
             timing, boottime.now()
         )
 
-    def _regained(self, now: float) -> None:
+    def _handle_recovery(self, now: float) -> None:
         self._up.set()
         self._inst.outage_since_s = None
         self._inst.metrics.store_up.set(1)
--- a/irisshelf/gateway/knowledge/operator_state.py
+++ b/irisshelf/gateway/knowledge/operator_state.py
@@ -1,4 +1,4 @@
-"""Brings what the operators write into force: configurations, evacuations."""
+"""Applies the operators' configurations and evacuations to an instance."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoredCatalog:
-    """A configuration as the store has it.
+    """A configuration in the store's format.
 
     Attributes:
         version: Its version.
-        raw: The document.
-        digest: Of the document.
+        raw: The encoded document.
+        digest: Digest of the encoded document.
     """
 
     version: int
@@ -31,16 +31,16 @@
 
 
 class OperatorState:
-    """Takes what the store, or the watcher of the data centre, tells.
+    """Applies data from the store and from the watcher of the data centre.
 
     Args:
-        inst: The instance in which it comes into force.
+        inst: The instance to which it is applied.
 
     Attributes:
-        stored_version: Of the newest configuration that the store is known to
-            have; None if that is not known.
-        stored: The configuration in force as the store has it, for other
-            instances; None if that is not known.
+        stored_version: Version of the newest configuration that the store is
+            known to have; None if not known.
+        stored_catalog: The configuration in force in the store's format, for
+            other instances; None if not known.
     """
 
     def __init__(self, *, inst: instance_module.Instance):
@@ -52,9 +52,10 @@
     def store_is_behind(self) -> bool:
         """Whether the store lacks the configuration in force.
 
-        It has come back from a copy that is older. Until the operators have
-        written the newest again, its answers confirm nothing: keys may
-        have been withdrawn since the copy, and they stay withdrawn.
+        That is so after the store was restored from an older backup. Until the
+        operators have written the newest configuration again, responses of the
+        store confirm nothing: keys may have been withdrawn since the backup,
+        and they stay withdrawn.
         """
         catalog = self._inst.catalog
         if catalog is None:
@@ -63,13 +64,13 @@
         return stored is None or stored < catalog.version
 
     def apply_batch(self, batch: feed.Batch, now: float) -> bool:
-        """Takes an answer of the store.
+        """Applies a response of the store.
 
         Returns:
-            Whether a configuration has come into force in place of another.
+            Whether a configuration has replaced another.
         """
         catalog = self._inst.catalog
-        brought = False
+        replaced = False
         if batch.whole:
             self.stored_version = None
         rows = []
@@ -80,29 +81,29 @@
                 rows.append(item.value)
             elif isinstance(item.value, model.Catalog):
                 self.stored_version = item.value.version
-                brought |= self._inst.adopt(item.value)
-                self._hold(item)
-        self._take_evacuations(batch, rows, now)
-        return brought and catalog is not None
+                replaced |= self._inst.adopt(item.value)
+                self._keep_stored(item)
+        self._apply_evacuations(batch, rows, now)
+        return replaced and catalog is not None
 
     def apply_update(
         self, update: shared_watch.CatalogUpdate, now: float
     ) -> None:
-        """Takes the evacuations that an update tells."""
+        """Applies the evacuations in an update."""
         changed = self._inst.evacuations.replace(
             update.evacuated, update.position, now
         )
         self._inst.evacuations_changed(changed)
 
     def expire(self, now: float) -> None:
-        """Lifts evacuations that a copy lacked and nobody wrote again."""
+        """Lifts evacuations missing in a backup and not written again since."""
         changed = self._inst.evacuations.expire(now)
         self._inst.evacuations_changed(changed)
 
     def make_update(
         self, batch: feed.Batch
     ) -> shared_watch.CatalogUpdate | None:
-        """Returns what readers are told; None if there is nothing to tell."""
+        """Returns the update for readers; None if no version is known."""
         if self.stored_version is None:
             return None
         return shared_watch.CatalogUpdate(
@@ -121,38 +122,38 @@
             return b""
         return self.stored_catalog.digest
 
-    def _hold(self, item: feed.Item) -> None:
+    def _keep_stored(self, item: feed.Item) -> None:
         version = item.value.version
         if item.raw and self._inst.catalog.version == version:
             self.stored_catalog = StoredCatalog(
                 version=version, raw=item.raw, digest=catalog_digest(item.raw)
             )
 
-    def _take_evacuations(
+    def _apply_evacuations(
         self,
         batch: feed.Batch,
         rows: Iterable[evacuations.Evacuation],
         now: float,
     ) -> None:
-        known = [row for row in rows if self._is_known(row)]
-        held = self._inst.evacuations
+        known = [row for row in rows if self._has_known_data_centre(row)]
+        state = self._inst.evacuations
         if batch.whole:
             names = [row.data_centre for row in known if row.in_force]
-            changed = held.replace(names, batch.position, now)
+            changed = state.replace(names, batch.position, now)
         else:
             if batch.items:
-                held.operators_wrote(now)
-            changed = held.change(known, batch.position, now)
+                state.operators_wrote(now)
+            changed = state.change(known, batch.position, now)
         self._inst.evacuations_changed(changed)
 
-    def _is_known(self, row: evacuations.Evacuation) -> bool:
-        places = self._inst.cfg.data_centres
-        if not places or row.data_centre in places:
+    def _has_known_data_centre(self, row: evacuations.Evacuation) -> bool:
+        data_centres = self._inst.cfg.data_centres
+        if not data_centres or row.data_centre in data_centres:
             return True
         self._inst.log.problem(
             "evacuation_of_unknown_data_centre",
             data_centre=row.data_centre,
-            allowed=sorted(places),
+            allowed=sorted(data_centres),
         )
         return False
 
@@ -165,10 +166,11 @@
             kept=catalog.version if catalog else None,
         )
         if self.stored_version is None and catalog is not None:
-            # It is none that is older than the one in force.
+            # An unreadable configuration is taken for no older than the one in
+            # force, so that the store does not count as behind.
             self.stored_version = catalog.version
 
 
 def catalog_digest(raw: bytes) -> bytes:
-    """Returns the digest of a configuration as the store has it."""
+    """Returns the digest of a configuration in the store's format."""
     return hashlib.blake2b(raw, digest_size=_DIGEST_BYTES).digest()
--- a/irisshelf/gateway/knowledge/peer_discovery.py
+++ b/irisshelf/gateway/knowledge/peer_discovery.py
@@ -1,8 +1,8 @@
-"""Finds the other instances and keeps the list of them up to date.
+"""Peer discovery: finds the other instances and tracks their membership.
 
-Instances ask each other over HTTP, with CBOR bodies, on the address of
-``listen.peers``: the seeds of the settings first, then the first instance of
-their data centre. Whoever asks tells its own name with it.
+Instances exchange HTTP requests, answered with CBOR bodies, at the address of
+``listen.peers``: at first with the seeds in the settings, then with the leader
+of their data centre. Each request carries the sender's own membership entry.
 """
 
 from __future__ import annotations
@@ -27,33 +27,38 @@
 
 _OK = 200
 _NOT_FOUND = 404
-# Instances stand within milliseconds; a slow one may take this much longer.
-_ANSWER_S = 0.4
-_CONNECT_S = 0.15
-# More than twice before an instance that says nothing is forgotten.
-_MEMBERS_EVERY_S = 2.5
-_SEEDS_EVERY_S = 5.0
-# An instance that knows of no other asks again after these: when all start at
-# once, the seeds are up some tenths of a second after those who ask them.
-_ALONE_PAUSES_S = (0.3, 0.6, 1.2)
-# Instances of each other data centre that an asker is told of.
-_MEMBERS_ELSEWHERE = 3
-# Instances that are asked one after the other; each that is gone takes half a
+# Round trips between instances take milliseconds; the rest is for a slow peer.
+_RESPONSE_TIMEOUT_S = 0.4
+_CONNECT_TIMEOUT_S = 0.15
+# Leaves room for more than two refreshes before a silent instance is dropped
+# from the membership.
+_MEMBERS_INTERVAL_S = 2.5
+_SEEDS_INTERVAL_S = 5.0
+# Retry delays of an instance that knows of no other: when all start at once,
+# the seeds are up some tenths of a second after the first requests to them.
+_INITIAL_RETRY_DELAYS_S = (0.3, 0.6, 1.2)
+# Number of instances of each other data centre in a response.
+_REMOTE_SAMPLE_SIZE = 3
+# Number of instances that are tried in turn; each that is gone takes half a
 # second.
-_MOST_ASKED = 4
+_MAX_ATTEMPTS = 4
 
 _LinkMbps = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
 Handler = Callable[[Mapping[str, str]], bytes | None]
 
 
 class PeerDiscovery:
-    """Knows the other instances, and tells of them.
+    """Tracks the other instances, and exchanges requests with them.
 
     Args:
         own: This instance.
-        seeds: Addresses of instances that may be there at the start.
-        log: Takes what cannot be read.
-        on_peer_count: Told how many other instances the data centre has.
+        seeds: Addresses of instances to contact first; some may be down.
+        log: Receives decoding errors.
+        on_peer_count: Called with the number of other instances in the data
+            centre.
+
+    Attributes:
+        membership: The known instances.
     """
 
     def __init__(
@@ -68,78 +73,83 @@
         self._seeds = tuple(seed for seed in seeds if seed != own.address)
         self._log = log
         self._on_peer_count = on_peer_count
-        self._conns: dict[str, client.Connection] = {}
+        self._idle_conns: dict[str, client.Connection] = {}
         self._leaving = False
         self._handlers: dict[str, Handler] = {}
 
     def run(self) -> None:
-        """Keeps the list of instances up to date, until this one leaves.
+        """Refreshes the membership until this instance leaves.
 
-        It does not ask after that: whom it asks would take it for live again.
+        A request sent after leaving would make its receiver list this instance
+        as live again.
         """
-        asked_seeds_s = float("-inf")
-        pauses_s = iter(_ALONE_PAUSES_S)
+        seeds_queried_s = float("-inf")
+        retry_delays_s = iter(_INITIAL_RETRY_DELAYS_S)
         while not self._leaving:
             now = boottime.now()
             if (
-                now - asked_seeds_s > _SEEDS_EVERY_S
+                now - seeds_queried_s > _SEEDS_INTERVAL_S
                 or not self._local_peer_count()
             ):
-                asked_seeds_s = now
-                self._ask_seeds()
+                seeds_queried_s = now
+                self._query_seeds()
             first = self.membership.first(now)
             if first is not None:
-                self._ask_members(first.address)
+                self._query_members(first.address)
             count = self._local_peer_count()
             self._on_peer_count(count)
-            pause_s = _MEMBERS_EVERY_S
+            delay_s = _MEMBERS_INTERVAL_S
             if not count:
-                pause_s = next(pauses_s, _MEMBERS_EVERY_S)
-            gevent.sleep(pause_s)
+                delay_s = next(retry_delays_s, _MEMBERS_INTERVAL_S)
+            gevent.sleep(delay_s)
 
-    def _ask_seeds(self) -> None:
-        """Asks all at once: each that is gone takes half a second."""
-        asking = [gevent.spawn(self._ask_members, s) for s in self._seeds]
-        gevent.joinall(asking)
+    def _query_seeds(self) -> None:
+        """Queries all seeds concurrently, as one that is gone takes 0.5 s."""
+        queries = [gevent.spawn(self._query_members, s) for s in self._seeds]
+        gevent.joinall(queries)
 
-    def register_handler(self, path: str, answer: Handler) -> None:
-        """Names what answers other instances' questions at a path.
+    def register_handler(self, path: str, handler: Handler) -> None:
+        """Registers the handler of other instances' requests to a path.
 
         Args:
             path: The path.
-            answer: Takes the fields of the query; None for no answer.
+            handler: Takes the query parameters and returns the response's body;
+                None makes the response a 404.
         """
-        self._handlers[path] = answer
+        self._handlers[path] = handler
 
     def request(
-        self, address: str, question: str, *, answer_s: float
+        self, address: str, target: str, *, timeout_s: float
     ) -> result.Result[bytes, str]:
-        """Asks one instance.
+        """Sends a request to one instance.
 
         Args:
-            address: The instance.
-            question: Path, and query if there is one.
-            answer_s: How long the answer may take.
+            address: The instance's address.
+            target: Path, and query if there is one.
+            timeout_s: How long the response may take.
+
+        Returns:
+            The response's body, or why there is none.
         """
-        return self._get(address, question, answer_s)
+        return self._get(address, target, timeout_s)
 
     def request_any(self, path: str) -> bytes | None:
-        """Asks the instances that are known until one answers.
+        """Sends a request to the known instances in turn until one answers.
 
         Returns:
-            The answer; None if none has answered.
+            The response's body; None if no instance answered.
         """
         now = boottime.now()
         own = self.membership.own.data_centre
-        near = [member for member, _ in self.membership.members(own, now)]
-        for member in [*near, *self.membership.elsewhere(now)][:_MOST_ASKED]:
-            answer = self._get(member.address, path)
-            if isinstance(answer, result.Ok):
-                return answer.ok_value
+        local = [member for member, _ in self.membership.members(own, now)]
+        for member in [*local, *self.membership.elsewhere(now)][:_MAX_ATTEMPTS]:
+            response = self._get(member.address, path)
+            if isinstance(response, result.Ok):
+                return response.ok_value
         return None
 
     def announce_departure(self) -> None:
-        """Tells the others of the data centre that this instance stops."""
+        """Tells the other instances of the data centre that this one stops."""
         self._leaving = True
         now = boottime.now()
         members = self.membership.members(self.membership.own.data_centre, now)
@@ -147,30 +157,30 @@
             gevent.spawn(self._get, member.address, "/goodbye")
 
     def handle(self, request: http.Request, conn: http.Connection) -> None:
-        """Answers another instance."""
+        """Handles a request of another instance."""
         path, _, query = request.target.partition("?")
         fields = dict(urllib.parse.parse_qsl(query))
-        asker = _asker(fields)
+        sender = _sender_of(fields)
         if path == "/goodbye":
-            self.membership.left(asker.name)
+            self.membership.left(sender.name)
             conn.answer(_OK, [], b"")
         elif path == "/members":
-            if asker.name and asker.address:
-                self.membership.heard(asker, boottime.now())
-            conn.answer(_OK, [], self._members(asker.data_centre))
+            if sender.name and sender.address:
+                self.membership.heard(sender, boottime.now())
+            conn.answer(_OK, [], self._encode_members(sender.data_centre))
         elif path in self._handlers:
-            answer = self._handlers[path](fields)
-            status = _NOT_FOUND if answer is None else _OK
-            conn.answer(status, [], answer or b"")
+            body = self._handlers[path](fields)
+            status = _NOT_FOUND if body is None else _OK
+            conn.answer(status, [], body or b"")
         else:
             conn.answer(_NOT_FOUND, [], b"")
 
     def _local_peer_count(self) -> int:
-        """Returns how many other instances the own data centre has."""
+        """Returns the number of other instances in the own data centre."""
         own = self.membership.own.data_centre
         return len(self.membership.members(own, boottime.now()))
 
-    def _members(self, data_centre: str) -> bytes:
+    def _encode_members(self, data_centre: str) -> bytes:
         now = boottime.now()
         rows = [
             (
@@ -181,18 +191,18 @@
                 age_s,
             )
             for member, age_s in self.membership.sample(
-                data_centre, now, _MEMBERS_ELSEWHERE
+                data_centre, now, _REMOTE_SAMPLE_SIZE
             )
         ]
         return cbor2.dumps(rows)
 
-    def _ask_members(self, address: str) -> None:
-        answer = self._get(address, "/members")
-        if isinstance(answer, result.Err):
+    def _query_members(self, address: str) -> None:
+        response = self._get(address, "/members")
+        if isinstance(response, result.Err):
             return
         try:
             rows = msgspec.convert(
-                cbor2.loads(answer.ok_value),
+                cbor2.loads(response.ok_value),
                 list[tuple[str, str, str, _LinkMbps, float]],
             )
         except (ValueError, TypeError, cbor2.CBORDecodeError) as exc:
@@ -201,45 +211,45 @@
             )
             return
         now = boottime.now()
-        for name, where, data_centre, link_mbps, age_s in rows:
+        for name, member_address, data_centre, link_mbps, age_s in rows:
             member = roster.Member(
                 name=name,
-                address=where,
+                address=member_address,
                 data_centre=data_centre,
                 link_mbps=link_mbps,
             )
             self.membership.heard(member, now - max(0.0, age_s))
 
     def _get(
-        self, address: str, question: str, answer_s: float = _ANSWER_S
+        self, address: str, target: str, timeout_s: float = _RESPONSE_TIMEOUT_S
     ) -> result.Result[bytes, str]:
-        fields = urllib.parse.urlencode(dataclasses.asdict(self.membership.own))
-        target = question + ("&" if "?" in question else "?") + fields
+        sender = urllib.parse.urlencode(dataclasses.asdict(self.membership.own))
+        full_target = target + ("&" if "?" in target else "?") + sender
         try:
             conn = self._connection(address)
-            status, data = _exchange(conn, target, answer_s)
+            status, data = _exchange(conn, full_target, timeout_s)
         except errors.TransportError as exc:
             return result.Err(str(exc))
         if conn.reusable:
-            self._conns[address] = conn
+            self._idle_conns[address] = conn
         if status != _OK:
-            return result.Err(f"{address} answered {status}")
+            return result.Err(f"{address} responded with status {status}")
         return result.Ok(data)
 
     def _connection(self, address: str) -> client.Connection:
-        """Returns the connection that rests from the last call, or a new one.
+        """Returns the idle connection of an earlier request, or a new one.
 
         Raises:
             errors.ConnectError: The instance cannot be reached.
         """
-        conn = self._conns.pop(address, None)
+        conn = self._idle_conns.pop(address, None)
         if conn is not None and not conn.is_stale():
             return conn
-        return client.connect(address, timeout_s=_CONNECT_S)
+        return client.connect(address, timeout_s=_CONNECT_TIMEOUT_S)
 
 
-def _asker(fields: Mapping[str, str]) -> roster.Member:
-    """Returns who asks, as far as it says so."""
+def _sender_of(fields: Mapping[str, str]) -> roster.Member:
+    """Returns the sender's membership entry; missing fields are empty."""
     try:
         link_mbps = msgspec.convert(
             fields.get("link_mbps", "0"), _LinkMbps, strict=False
@@ -255,24 +265,24 @@
 
 
 def _exchange(
-    conn: client.Connection, target: str, answer_s: float
+    conn: client.Connection, target: str, timeout_s: float
 ) -> tuple[int, bytes]:
-    """Asks once; a connection that fails is closed."""
-    until_s = boottime.now() + answer_s
+    """Sends one request; closes the connection if that fails."""
+    deadline_s = boottime.now() + timeout_s
     headers = [(b"Host", conn.address.encode())]
     try:
-        conn.send("GET", target, headers, b"", timeout_s=answer_s)
-        status, _ = conn.read_head(timeout_s=until_s - boottime.now())
-        return status, _read_all(conn, until_s)
+        conn.send("GET", target, headers, b"", timeout_s=timeout_s)
+        status, _ = conn.read_head(timeout_s=deadline_s - boottime.now())
+        return status, _read_all(conn, deadline_s)
     except errors.TransportError:
         conn.close()
         raise
 
 
-def _read_all(conn: client.Connection, until_s: float) -> bytes:
+def _read_all(conn: client.Connection, deadline_s: float) -> bytes:
     parts = []
     while True:
-        part = conn.read_data(timeout_s=until_s - boottime.now())
+        part = conn.read_data(timeout_s=deadline_s - boottime.now())
         if part is None:
             return b"".join(parts)
         parts.append(part)
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -1,4 +1,4 @@
-"""Brings the store's list of servers into force, also through outages."""
+"""Applies the store's list of servers to an instance, also across outages."""
 
 from __future__ import annotations
 
@@ -10,44 +10,45 @@
 from irisshelf.gateway import instance as instance_module
 from irisshelf.store import feed
 
-# A line names so many changes at the most, and counts the others.
-_MOST_CHANGES_TOLD = 40
-# Other writers may leave thousands of entries that name no server.
-_MOST_PROBLEMS_TOLD = 5
-# Servers write their entries every second or so, and after three times without
-# it the store drops an entry; as long after a return from a copy, and a margin.
+# Number of changes listed in a log line, beside their total.
+_MAX_LOGGED_CHANGES = 40
+# Limited because other writers may leave thousands of unreadable entries.
+_MAX_LOGGED_PROBLEMS = 5
+# Servers write their entries about every second, and the store drops an entry
+# after three missed writes. The delay after a restore covers both and a margin.
 _REREAD_DELAY_S = 6.0
 
 
 class ServerList:
-    """Takes what the store, or the watcher of the data centre, tells.
+    """Applies data from the store and from the watcher of the data centre.
 
     Args:
-        inst: The instance whose list it is.
+        inst: The instance to which it is applied.
     """
 
     def __init__(self, *, inst: instance_module.Instance):
         self._inst = inst
         self._changes = shared_watch.ChangeLog()
-        self._away = False
-        self._back_s = -math.inf
+        self._store_down = False
+        self._recovered_s = -math.inf
         self._position: position_module.Position | None = None
-        self._settles_s = math.inf
+        self._reread_due_s = math.inf
 
     def on_store_lost(self) -> None:
-        """Takes that the store does not answer this instance."""
-        self._away = True
+        """Notes that the store does not answer this instance."""
+        self._store_down = True
 
     def on_store_regained(self, now: float) -> None:
-        """Takes that the store is back."""
-        self._away = False
-        self._back_s = now
+        """Notes that the store has recovered."""
+        self._store_down = False
+        self._recovered_s = now
 
     def apply_batch(self, batch: feed.Batch, now: float) -> None:
-        """Takes an answer of the store.
+        """Applies a response of the store.
 
-        An entry that cannot be read is there, but names no server: one that it
-        named before is dropped at once, also after an outage.
+        An unreadable entry exists but describes no server: a server that it
+        described before is dropped at once, without the grace period that
+        vanished entries have after an outage.
         """
         unreadable = [item for item in batch.items if item.problem]
         if unreadable:
@@ -56,8 +57,8 @@
         changes = tuple(map(_change, batch.items))
         self._inst.servers.tell_cold(changes)
         if batch.whole:
-            copied = self._copied(batch, now)
-            self._replace(changes, batch.position, now, copied)
+            restored = self._restored(batch, now)
+            self._replace(changes, batch.position, now, restored)
         else:
             self.apply_changes(changes, batch.position, now)
 
@@ -67,9 +68,9 @@
         position: position_module.Position,
         now: float,
     ) -> None:
-        """Takes what changed since the list known."""
+        """Applies changes that follow the known position."""
         if self._after_outage(now):
-            self._inst.directory.lapse(changes, back_s=self._returned_s(now))
+            self._inst.directory.lapse(changes, back_s=self._recovery_s(now))
         else:
             self._inst.directory.apply(changes)
         self._position = position
@@ -81,19 +82,19 @@
     def make_update(
         self, store_s: float, now: float
     ) -> shared_watch.ServersUpdate:
-        """Returns what readers are told; see ``ChangeLog.update``."""
+        """Returns the update for readers; see ``ChangeLog.update``."""
         return self._changes.update(store_s, now)
 
     def expire(self, now: float) -> None:
-        """Drops servers whose lapsed entries have not come back.
+        """Drops servers whose lapsed entries have not been written again.
 
-        Each by its own time: an instance that loses the store once more for a
-        moment, or has it again later than its watcher, does not keep an entry
-        for longer, and past the bound on servers that leave.
+        Each entry has its own deadline. A deadline for all would be extended if
+        the instance lost the store again, or regained it later than its
+        watcher, which could exceed the bound on servers that leave.
         """
-        gone = self._inst.directory.expire(now)
-        if gone:
-            self._inst.log.instance("lapsed_servers_gone", servers=gone)
+        dropped = self._inst.directory.expire(now)
+        if dropped:
+            self._inst.log.instance("lapsed_servers_gone", servers=dropped)
             self._inst.servers.list_changed()
 
     def _replace(
@@ -101,59 +102,63 @@
         entries: tuple[directory.Change, ...],
         position: position_module.Position,
         now: float,
-        copied: frozenset[str],
+        restored: frozenset[str],
     ) -> None:
         self._position = position
         self._inst.directory.replace(
             [entry.server for entry in entries if entry.server],
-            back_s=self._returned_s(now),
+            back_s=self._recovery_s(now),
             after_outage=self._after_outage(now),
-            copied=copied,
+            copied=restored,
         )
         self._changes.restart(position)
         self._inst.server_list_taken()
         self._inst.eligible.entries_told(entries)
         self._log_changes(entries, position, now, whole=True)
 
-    def _copied(self, batch: feed.Batch, now: float) -> frozenset[str]:
+    def _restored(self, batch: feed.Batch, now: float) -> frozenset[str]:
         """Returns the entries of a new era that may be older than known ones.
 
-        The revisions of a new era are given out again, so that an entry that
-        was written since may seem as old. So the list is read once more when
-        all servers have written theirs, and the store has dropped the others.
+        The store reuses revisions in a new era, so that an entry written after
+        the restore may have the revision of an older one. So the list is read
+        again once all live servers have written their entries and the store
+        has dropped the others.
         """
         known = self._position
         if known is None or batch.position.era <= known.era:
             return frozenset()
-        # Entries that the copy lacks may be written again in a moment.
-        self._back_s = now
-        self._settles_s = now + _REREAD_DELAY_S
+        # Entries missing in the backup may be written again shortly.
+        self._recovered_s = now
+        self._reread_due_s = now + _REREAD_DELAY_S
         return frozenset(
             item.key for item in batch.items if item.revision <= known.revision
         )
 
     def take_reread_due(self, now: float) -> bool:
-        """Tells, once, that the list of a new era has to be read again."""
-        if now < self._settles_s:
+        """Returns, once, whether the list of a new era has to be read again."""
+        if now < self._reread_due_s:
             return False
-        self._settles_s = math.inf
+        self._reread_due_s = math.inf
         return True
 
     def _log_unreadable(self, items: list[feed.Item]) -> None:
-        told = items[:_MOST_PROBLEMS_TOLD]
+        logged = items[:_MAX_LOGGED_PROBLEMS]
         self._inst.log.problem(
             "server_entries_unreadable",
             count=len(items),
-            first=[f"{item.key!r}: {item.problem}" for item in told],
+            first=[f"{item.key!r}: {item.problem}" for item in logged],
         )
 
     def _after_outage(self, now: float) -> bool:
-        """Whether entries that vanish may only have lapsed."""
-        return self._away or now - self._back_s < directory.LAPSE_GRACE_S
+        """Whether vanished entries may only have lapsed in an outage."""
+        return (
+            self._store_down
+            or now - self._recovered_s < directory.LAPSE_GRACE_S
+        )
 
-    def _returned_s(self, now: float) -> float:
-        """Returns when the store came back; now if that is not known yet."""
-        return now if self._away else self._back_s
+    def _recovery_s(self, now: float) -> float:
+        """Returns when the store recovered; now if it has not yet."""
+        return now if self._store_down else self._recovered_s
 
     def _log_changes(
         self,
@@ -165,7 +170,7 @@
     ) -> None:
         if not changes:
             return
-        told = changes[:_MOST_CHANGES_TOLD]
+        logged = changes[:_MAX_LOGGED_CHANGES]
         self._inst.log.instance(
             "servers_changed",
             era=position.era,
@@ -173,7 +178,7 @@
             whole=whole,
             after_outage=self._after_outage(now),
             count=len(changes),
-            changes=[_text(change) for change in told],
+            changes=[_describe(change) for change in logged],
         )
 
 
@@ -181,7 +186,7 @@
     return directory.Change(entry_id=item.key, server=item.value)
 
 
-def _text(change: directory.Change) -> str:
+def _describe(change: directory.Change) -> str:
     if change.server is None:
         return f"{change.entry_id} gone"
     server = change.server
--- a/irisshelf/gateway/knowledge/server_records.py
+++ b/irisshelf/gateway/knowledge/server_records.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers as instances write them down for each other."""
+"""Wire format of server-list entries exchanged between instances."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from irisshelf.catalog import directory
 
-_LONGEST_COLD_S = 86_400
+_MAX_COLD_S = 86_400
 
 
 class ServerRecord(msgspec.Struct, array_like=True):
-    """An entry; one that is gone has an id only.
+    """An encoded entry; a removed entry has an id only.
 
     The fields are those of ``directory.BackendServer``.
     """
@@ -24,11 +24,11 @@
     slots: int = 0
     state: directory.ServerState | None = None
     born_ms: int | None = None
-    cold_s: Annotated[float, msgspec.Meta(ge=0, le=_LONGEST_COLD_S)] = 0.0
+    cold_s: Annotated[float, msgspec.Meta(ge=0, le=_MAX_COLD_S)] = 0.0
 
 
 def to_record(change: directory.Change) -> ServerRecord:
-    """Returns a changed entry's row."""
+    """Encodes a changed entry."""
     server = change.server
     if server is None:
         return ServerRecord(entry_id=change.entry_id)
@@ -44,19 +44,19 @@
     )
 
 
-def to_change(row: ServerRecord) -> directory.Change:
-    """Returns the changed entry that a row tells of."""
-    if row.state is None:
-        return directory.Change(entry_id=row.entry_id, server=None)
+def to_change(record: ServerRecord) -> directory.Change:
+    """Decodes a record to a changed entry."""
+    if record.state is None:
+        return directory.Change(entry_id=record.entry_id, server=None)
     server = directory.BackendServer(
-        server_id=directory.life_id(row.entry_id, row.born_ms),
-        entry_id=row.entry_id,
-        born_ms=row.born_ms,
-        service=row.service,
-        address=row.address,
-        data_centre=row.data_centre,
-        slots=row.slots,
-        state=row.state,
-        cold_s=row.cold_s,
+        server_id=directory.life_id(record.entry_id, record.born_ms),
+        entry_id=record.entry_id,
+        born_ms=record.born_ms,
+        service=record.service,
+        address=record.address,
+        data_centre=record.data_centre,
+        slots=record.slots,
+        state=record.state,
+        cold_s=record.cold_s,
     )
-    return directory.Change(entry_id=row.entry_id, server=server)
+    return directory.Change(entry_id=record.entry_id, server=server)
--- a/irisshelf/gateway/knowledge/store_timing.py
+++ b/irisshelf/gateway/knowledge/store_timing.py
@@ -1,8 +1,7 @@
-"""When the store is asked, by the operators' bounds and an instance's role.
+"""When the store is polled, by the operators' bounds and an instance's role.
 
-One place for the waits of ``follower``: how long a call may be held, how long
-changes are gathered before the next one, and when a reader gives up on its
-watcher.
+Defines all the waits of ``follower``: the long-poll timeout, how long changes
+are coalesced before the next poll, and when a reader gives up on its watcher.
 """
 
 from __future__ import annotations
@@ -14,53 +13,56 @@
 from irisshelf.gateway import settings
 from irisshelf.store import feed
 
-# Where withdrawals bind strictly, keys age while a call is held: it is held for
-# this part of the bound, and requests are refused at 0.76 of it.
-_HOLD_OF_KEY_BOUND = 0.4
-# The store forgets what is older than 20 s; a call is held for half of that.
-_LONGEST_HOLD_S = 10.0
-# A held call whose answer is lost is noticed when it is overdue. Nothing else
-# shows it, so that a call on the servers is held no longer than for this part
-# of the time that a leaving server still takes requests.
-_HOLD_OF_LEAVING = 0.9
-# An evacuation whose answer is lost is known by the next call, in two thirds of
-# the bound with that call's own time.
-_HOLD_OF_EVACUATION = 0.5
-# Part of the time that a configuration has to come into force in which other
-# instances may hand it on; what is left serves a call to the store instead.
-_HAND_ON_OF_CATALOG = 0.25
-_HAND_ON_AT_START_S = 2.5
-# Changes come in bursts, and each call is paid for: after one, the next call
-# waits. The configuration's wait is short, as keys age meanwhile, and an
-# instance that is then cut off refuses its callers sooner.
-_GATHER_CATALOG_S = 0.3
-# Part of the time that a leaving server still takes requests; the rest is for
-# the answer's way and for requests that were sent just before it.
-_GATHER_OF_LEAVING = 0.5
-# A watcher calls for a whole data centre, so that its calls may come often; a
-# reader's call for a new configuration moves its body, and waits for this part
-# of the time that the configuration has to come into force.
-_GATHER_WATCHER_S = 0.3
-_GATHER_READER_OF_CATALOG = 0.25
+# Long-poll timeout as a share of the bound on withdrawn keys, where that is
+# strict: the keys' confirmation ages while a poll is pending, and requests are
+# rejected at 0.76 of the bound.
+_LONG_POLL_KEY_SHARE = 0.4
+# The store keeps a history of 20 s; a poll is pending for at most half of that.
+_MAX_LONG_POLL_S = 10.0
+# A lost response to a long poll is only noticed when it is overdue. So a poll
+# for the servers is pending for at most this share of the time for which a
+# leaving server still accepts requests.
+_LONG_POLL_LEAVING_SHARE = 0.9
+# If the response with an evacuation is lost, the next poll returns it;
+# including that poll's own duration this takes two thirds of the bound.
+_LONG_POLL_EVACUATION_SHARE = 0.5
+# Share of the time limit for a new configuration that is spent on fetching it
+# from other instances; the rest suffices to read it from the store instead.
+_RELAY_CATALOG_SHARE = 0.25
+_RELAY_AT_START_S = 2.5
+# Changes come in bursts and each request is billed, so that the next poll waits
+# after a change. For the configuration the wait is short: the keys'
+# confirmation ages meanwhile, and an instance that then loses the store would
+# reject its callers sooner.
+_COALESCE_CATALOG_S = 0.3
+# Share of the time for which a leaving server still accepts requests; the rest
+# is for the response's transit and for requests sent just before it arrives.
+_COALESCE_LEAVING_SHARE = 0.5
+# A watcher polls for a whole data centre, so that its polls may be frequent.
+_COALESCE_WATCHER_S = 0.3
+# A reader's poll for a new configuration transfers the whole document, and
+# waits for this share of the time limit for a new configuration.
+_COALESCE_READER_CATALOG_SHARE = 0.25
 
 
 def long_poll_s(table: feed.Table, bounds: settings.Bounds) -> float:
-    """Returns how long the store may hold a call, in seconds.
+    """Returns the long-poll timeout, in seconds.
 
-    The one on the configuration is also how an instance learns that it is cut
-    off: within the time that a configuration has to come into force.
+    For the configuration it also bounds how long an instance takes to notice
+    that it is cut off from the store: within the time limit for a new
+    configuration.
     """
     if table is feed.Table.SERVERS:
         leaving_s = bounds.server_leaving_ms / 1000
-        return min(_HOLD_OF_LEAVING * leaving_s, _LONGEST_HOLD_S)
-    longest_s = bounds.catalog_in_force_ms / 1000
+        return min(_LONG_POLL_LEAVING_SHARE * leaving_s, _MAX_LONG_POLL_S)
+    limit_s = bounds.catalog_in_force_ms / 1000
     if bounds.evacuated_ms is not None:
         evacuated_s = bounds.evacuated_ms / 1000
-        longest_s = min(longest_s, _HOLD_OF_EVACUATION * evacuated_s)
+        limit_s = min(limit_s, _LONG_POLL_EVACUATION_SHARE * evacuated_s)
     if bounds.keys_strict:
         keys_s = bounds.key_withdrawn_ms / 1000
-        longest_s = min(longest_s, _HOLD_OF_KEY_BOUND * keys_s)
-    return min(longest_s, _LONGEST_HOLD_S)
+        limit_s = min(limit_s, _LONG_POLL_KEY_SHARE * keys_s)
+    return min(limit_s, _MAX_LONG_POLL_S)
 
 
 def coalesce_s(
@@ -68,18 +70,20 @@
     bounds: settings.Bounds,
     role: shared_watch.Role = shared_watch.Role.ALONE,
 ) -> float:
-    """Returns how long changes are gathered after one, in seconds."""
+    """Returns how long changes are coalesced after a poll, in seconds."""
     if role is shared_watch.Role.WATCHER:
-        return _GATHER_WATCHER_S
+        return _COALESCE_WATCHER_S
     if role is shared_watch.Role.READER and table is feed.Table.CATALOG:
-        return _GATHER_READER_OF_CATALOG * bounds.catalog_in_force_ms / 1000
+        return (
+            _COALESCE_READER_CATALOG_SHARE * bounds.catalog_in_force_ms / 1000
+        )
     if table is feed.Table.CATALOG:
-        return _GATHER_CATALOG_S
-    return _GATHER_OF_LEAVING * bounds.server_leaving_ms / 1000
+        return _COALESCE_CATALOG_S
+    return _COALESCE_LEAVING_SHARE * bounds.server_leaving_ms / 1000
 
 
 def relay_timeout_s(bounds: settings.Bounds, *, starting: bool) -> float:
-    """Returns how long other instances are waited for, in seconds.
+    """Returns the timeout of requests for a snapshot to peers, in seconds.
 
     Args:
         bounds: The operators' bounds.
@@ -87,12 +91,12 @@
             data centre may be starting, so that the watcher reads it first.
     """
     if starting:
-        return _HAND_ON_AT_START_S
-    return _HAND_ON_OF_CATALOG * bounds.catalog_in_force_ms / 1000
+        return _RELAY_AT_START_S
+    return _RELAY_CATALOG_SHARE * bounds.catalog_in_force_ms / 1000
 
 
 def watch_timing(bounds: settings.Bounds) -> shared_watch.Timing:
-    """Returns when the store is asked where a watch is shared."""
+    """Returns the poll timing of instances that share a watch."""
     tightest_ms = min(
         bounds.catalog_in_force_ms,
         bounds.server_leaving_ms,
--- a/irisshelf/gateway/knowledge/store_updates.py
+++ b/irisshelf/gateway/knowledge/store_updates.py
@@ -1,7 +1,7 @@
-"""Updates of the store's tables, told by a data centre's watcher.
+"""Updates of the store's tables, broadcast by a data centre's watcher.
 
-What is told, and what a reader makes of it, is decided in
-``coordination.shared_watch``; here it is written down and sent.
+What an update contains, and how a reader applies it, is defined in
+``coordination.shared_watch``; this module encodes and sends updates.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 class _Message(msgspec.Struct, array_like=True):
     data_centre: str
     table: _Table
-    # In seconds; see the fields of the two kinds of update.
+    # In seconds; see the fields of the two classes of updates.
     store_s: float
     era: _Revision
     revision: _Revision
-    # Version of the configuration, or the revision that changes follow.
+    # Version of the configuration, or the revision that the changes follow.
     base: _Revision
     servers: list[server_records.ServerRecord] = []
     # Names of data centres.
@@ -48,18 +48,21 @@
     digest: bytes = b""
 
     def __post_init__(self):
-        # No number compares with it, so that ages would come out as none.
+        # NaN compares false with any number, so that no age would exceed a
+        # bound.
         if not 0 <= self.store_s < math.inf:
-            raise ValueError(f"store_s is {self.store_s}, allowed: 0 and above")
+            raise ValueError(
+                f"store_s is {self.store_s}, allowed: finite numbers from 0"
+            )
 
 
 class StoreUpdates:
-    """Tells updates to the readers of a data centre, and takes them.
+    """Broadcasts updates to a data centre's readers, and receives them.
 
     Args:
-        datagrams: Carries updates.
+        datagrams: Carries the updates.
         membership: The other instances.
-        log: Told of a change of role.
+        log: Receives changes of role.
     """
 
     def __init__(
@@ -76,12 +79,12 @@
         self._on_update: Callable[[shared_watch.Update], None] | None = None
         datagrams.subscribe(_KIND, self.receive)
 
-    def subscribe(self, taker: Callable[[shared_watch.Update], None]) -> None:
-        """Names who takes updates."""
-        self._on_update = taker
+    def subscribe(self, handler: Callable[[shared_watch.Update], None]) -> None:
+        """Registers the handler of received updates."""
+        self._on_update = handler
 
     def role(self) -> shared_watch.Role:
-        """Returns who asks the store for this instance now."""
+        """Returns this instance's current role; logs a change of it."""
         now = boottime.now()
         role = shared_watch.role(self._membership, now)
         if role is not self._role:
@@ -95,7 +98,7 @@
         return role
 
     def has_peers(self) -> bool:
-        """Tells whether any other instance is known."""
+        """Whether any other instance is known."""
         now = boottime.now()
         own = self._membership.own.data_centre
         return bool(
@@ -111,10 +114,10 @@
             self._datagrams.send(member.address, data)
 
     def receive(self, content: Any) -> None:
-        """Takes what a datagram holds.
+        """Handles the content of a datagram.
 
         Raises:
-            ValueError: It is no update.
+            ValueError: The content is not a valid update.
         """
         message = msgspec.convert(content, _Message)
         if message.data_centre != self._membership.own.data_centre:
@@ -123,25 +126,30 @@
             self._on_update(_decode(message))
 
     def _encode(self, update: shared_watch.Update) -> bytes:
-        data = self._pack(_message(update, self._membership.own.data_centre))
+        data = self._encode_message(
+            _to_message(update, self._membership.own.data_centre)
+        )
         if len(data) <= datagrams_module.MAX_DATAGRAM_BYTES:
             return data
-        # Readers see that there is more, and ask the store for it.
+        # Too long for a datagram. An update without the changes makes readers
+        # fetch them, as it does not follow their position.
         short = dataclasses.replace(update, since=update.position, changes=())
-        return self._pack(_message(short, self._membership.own.data_centre))
+        return self._encode_message(
+            _to_message(short, self._membership.own.data_centre)
+        )
 
-    def _pack(self, message: _Message) -> bytes:
+    def _encode_message(self, message: _Message) -> bytes:
         return datagrams_module.encode(
             _KIND, msgspec.to_builtins(message, builtin_types=(bytes,))
         )
 
 
 @functools.singledispatch
-def _message(update: shared_watch.Update, data_centre: str) -> _Message:
+def _to_message(update: shared_watch.Update, data_centre: str) -> _Message:
     raise TypeError(f"update is {update!r}, allowed: {shared_watch.Update}")
 
 
-@_message.register
+@_to_message.register
 def _(update: shared_watch.CatalogUpdate, data_centre: str) -> _Message:
     return _Message(
         data_centre=data_centre,
@@ -155,7 +163,7 @@
     )
 
 
-@_message.register
+@_to_message.register
 def _(update: shared_watch.ServersUpdate, data_centre: str) -> _Message:
     return _Message(
         data_centre=data_centre,
--- a/irisshelf/gateway/knowledge/table_relay.py
+++ b/irisshelf/gateway/knowledge/table_relay.py
@@ -1,14 +1,14 @@
-"""Whole tables of the store, relayed among a data centre's instances.
+"""Relays snapshots of the store's tables among a data centre's instances.
 
-A configuration of many routes fills a narrow link for a second, and a list of
-thousands of servers for several; when each instance of a large data centre
-reads them from the store, the store's own link is what all wait for. So the
-watcher reads them once, and the others take them from each other, compressed,
-along a tree of the instances as they are ranked, wide links first.
+A configuration with many routes fills a narrow link for a second, and a list of
+thousands of servers for several seconds. If each instance of a large data
+centre read them from the store, the store's link would be the bottleneck. So
+the watcher reads them once, and the others fetch them from each other,
+compressed, along a tree of the instances in ranking order, wide links first.
 
-A relayed table carries its age by the store's own clock; a digest in the
-watcher's update tells a configuration that is not the one meant. Whoever gets
-nothing in time asks the store.
+A relayed snapshot carries its age by the store's clock. A digest in the
+watcher's update identifies the configuration, so that a different one is
+rejected. An instance that receives no snapshot in time reads the store.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 from irisshelf.gateway.knowledge import table_snapshot
 from irisshelf.store import feed
 
-# Instances that one relays a table to: four bodies of 70 kB take a link of 5
-# Mbit/s half a second.
+# Children of an instance in the relay tree: sending four bodies of 70 kB takes
+# half a second on a 5 Mbit/s link.
 _FAN_OUT = 4
 _PATHS = {feed.Table.CATALOG: "/catalog", feed.Table.SERVERS: "/servers"}
-# Another answers sooner than it is waited for, so that it is not given up just
-# before.
+# Share of the requester's timeout for which a request may be held, so that the
+# response arrives before the timeout.
 _HOLD_SHARE = 0.8
 
 
 class TableRelay:
-    """Relays tables to other instances, and asks others for them.
+    """Serves snapshots to other instances, and fetches them from others.
 
     Args:
         inst: The instance.
-        peers: How other instances are asked.
-        operators: What the operators have written.
-        as_of: Tells up to where a table is known; None if it is not.
-        decode: Decodes a configuration as the store has it.
+        peers: Exchanges requests with other instances.
+        operators: The configuration and the evacuations.
+        as_of: Returns the known version of a table; None if there is none.
+        decode: Decodes a configuration in the store's format.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
             peers.register_handler(path, self._request_handler(table))
 
     def notify_changed(self) -> None:
-        """Takes that more is known, which others may be waiting for."""
+        """Wakes requests that wait for a newer version of a table."""
         waiting, self._changed = self._changed, event.Event()
         waiting.set()
 
@@ -82,41 +82,43 @@
         table: feed.Table,
         minimum: table_snapshot.MinimumVersion | None,
         *,
-        within_s: float,
+        timeout_s: float,
     ) -> table_snapshot.RelayedSnapshot | None:
-        """Asks the instances above this one in the tree.
+        """Fetches a snapshot from the instances above this one in the tree.
 
         Args:
-            table: What to ask for.
-            minimum: What it has to hold at least; None for anything.
-            within_s: How long each may take.
+            table: The table.
+            minimum: The minimum version of the snapshot; None for any.
+            timeout_s: Timeout for all attempts together.
 
         Returns:
-            None if nobody has sent it in time.
+            None if no instance responds in time, or if the response is invalid.
         """
-        until_s = boottime.now() + within_s
+        deadline_s = boottime.now() + timeout_s
         membership = self._peers.membership
         for member in membership.ancestors(boottime.now(), _FAN_OUT):
-            left_s = until_s - boottime.now()
-            if left_s <= 0:
+            remaining_s = deadline_s - boottime.now()
+            if remaining_s <= 0:
                 return None
-            question = _question(table, minimum, left_s)
+            target = _request_target(table, minimum, remaining_s)
             sent_s = boottime.now()
-            answer = self._peers.request(
-                member.address, question, answer_s=left_s
+            response = self._peers.request(
+                member.address, target, timeout_s=remaining_s
             )
-            if isinstance(answer, result.Err):
+            if isinstance(response, result.Err):
                 continue
-            relayed = self._decode_table(
-                table, answer.ok_value, minimum, sent_s
+            snapshot = self._decode_table(
+                table, response.ok_value, minimum, sent_s
             )
-            if relayed is not None:
-                self._log(table, relayed, member.name, len(answer.ok_value))
-            return relayed
+            if snapshot is not None:
+                self._log_relayed(
+                    table, snapshot, member.name, len(response.ok_value)
+                )
+            return snapshot
         return None
 
     def _request_handler(self, table: feed.Table) -> peer_discovery.Handler:
-        def answer(fields: Mapping[str, str]) -> bytes | None:
+        def handle(fields: Mapping[str, str]) -> bytes | None:
             try:
                 era, revision, version, hold_ms = (
                     msgspec.convert(
@@ -133,28 +135,28 @@
                 position=position_module.Position(era=era, revision=revision),
                 version=version,
             )
-            if not self._await(table, minimum, hold_ms / 1000):
+            if not self._wait_for(table, minimum, hold_ms / 1000):
                 return None
             return self._encode_table(table)
 
-        return answer
+        return handle
 
-    def _await(
+    def _wait_for(
         self,
         table: feed.Table,
         minimum: table_snapshot.MinimumVersion,
         hold_s: float,
     ) -> bool:
-        """Waits until a table is known as far as it is minimum."""
-        until_s = boottime.now() + hold_s
-        while not self._has(table, minimum):
-            left_s = until_s - boottime.now()
-            if left_s <= 0:
+        """Waits until a table has reached a version; False on a timeout."""
+        deadline_s = boottime.now() + hold_s
+        while not self._has_reached(table, minimum):
+            remaining_s = deadline_s - boottime.now()
+            if remaining_s <= 0:
                 return False
-            self._changed.wait(left_s)
+            self._changed.wait(remaining_s)
         return True
 
-    def _has(
+    def _has_reached(
         self, table: feed.Table, minimum: table_snapshot.MinimumVersion
     ) -> bool:
         known = self._as_of(table)
@@ -186,25 +188,27 @@
             message.evacuated = sorted(self._inst.evacuations.now())
         else:
             message.servers = [
-                server_records.to_record(self._aged(server, now))
+                server_records.to_record(
+                    self._with_remaining_cold_time(server, now)
+                )
                 for server in self._inst.directory.unlapsed()
             ]
         return table_snapshot.encode(message)
 
     def _compressed_catalog(self) -> bytes:
-        """Packs a configuration once, for all who ask for it."""
+        """Returns the compressed configuration, cached for all requests."""
         stored = self._operators.stored_catalog
         if self._compressed[0] != stored.version:
             compressed = table_snapshot.compress(stored.raw)
             self._compressed = (stored.version, compressed)
         return self._compressed[1]
 
-    def _aged(
+    def _with_remaining_cold_time(
         self, server: directory.BackendServer, now: float
     ) -> directory.Change:
-        left_s = self._inst.eligible.cold.left_s(server.server_id, now)
-        aged = dataclasses.replace(server, cold_s=left_s)
-        return directory.Change(entry_id=server.entry_id, server=aged)
+        remaining_s = self._inst.eligible.cold.left_s(server.server_id, now)
+        changed = dataclasses.replace(server, cold_s=remaining_s)
+        return directory.Change(entry_id=server.entry_id, server=changed)
 
     def _decode_table(
         self,
@@ -252,26 +256,32 @@
     def _catalog_item(
         self, raw: bytes, minimum: table_snapshot.MinimumVersion | None
     ) -> feed.Item:
-        """Decodes a configuration.
+        """Decodes a configuration and checks its digest.
 
         Raises:
-            ValueError: It is none, or not the one that is meant.
+            ValueError: The data is no configuration, or its digest differs
+                from that of the announced version.
         """
         item = self._decode(raw)
         if item.problem:
             raise ValueError(item.problem)
-        meant = minimum is not None and item.value.version == minimum.version
-        if meant and minimum.digest not in (
+        announced = (
+            minimum is not None and item.value.version == minimum.version
+        )
+        if announced and minimum.digest not in (
             b"",
             operator_state.catalog_digest(raw),
         ):
-            raise ValueError(f"version {minimum.version} has another digest")
+            raise ValueError(
+                f"digest of configuration version {minimum.version} does not"
+                " match the announced digest"
+            )
         return item
 
-    def _log(
+    def _log_relayed(
         self,
         table: feed.Table,
-        relayed: table_snapshot.RelayedSnapshot,
+        snapshot: table_snapshot.RelayedSnapshot,
         by: str,
         size_bytes: int,
     ) -> None:
@@ -280,31 +290,31 @@
             "tables_relayed",
             table=table.value,
             by=by,
-            era=relayed.batch.position.era,
-            revision=relayed.batch.position.revision,
+            era=snapshot.batch.position.era,
+            revision=snapshot.batch.position.revision,
             size_bytes=size_bytes,
-            took_s=round(boottime.now() - relayed.sent_s, 4),
+            took_s=round(boottime.now() - snapshot.sent_s, 4),
         )
 
 
-def _question(
+def _request_target(
     table: feed.Table,
     minimum: table_snapshot.MinimumVersion | None,
-    left_s: float,
+    remaining_s: float,
 ) -> str:
-    hold_ms = int(left_s * _HOLD_SHARE * 1000)
-    question = f"{_PATHS[table]}?hold_ms={hold_ms}"
+    hold_ms = int(remaining_s * _HOLD_SHARE * 1000)
+    target = f"{_PATHS[table]}?hold_ms={hold_ms}"
     if minimum is None:
-        return question
-    at = minimum.position
+        return target
+    position = minimum.position
     return (
-        f"{question}&era={at.era}&revision={at.revision}"
+        f"{target}&era={position.era}&revision={position.revision}"
         f"&version={minimum.version}"
     )
 
 
-def _server_item(row: server_records.ServerRecord) -> feed.Item:
-    change = server_records.to_change(row)
+def _server_item(record: server_records.ServerRecord) -> feed.Item:
+    change = server_records.to_change(record)
     return feed.Item(key=change.entry_id, value=change.server)
 
 
--- a/irisshelf/gateway/knowledge/table_snapshot.py
+++ b/irisshelf/gateway/knowledge/table_snapshot.py
@@ -1,4 +1,4 @@
-"""Whole tables of the store as instances write them down for each other."""
+"""Wire format of store-table snapshots exchanged between instances."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from irisshelf.gateway.knowledge import server_records
 from irisshelf.store import feed
 
-# What a whole table may have, unpacked.
+# Limit of a decompressed snapshot.
 _MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
-# The network is fast, the processor of the one that packs may be slow.
-_FASTEST_PACKING = 1
+# The fastest zlib level: the network is fast, and the sender's CPU may be slow.
+_COMPRESSION_LEVEL = 1
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 _Seconds = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
 
 
 class Message(msgspec.Struct, array_like=True):
-    """A whole table, the operators' rows or the list of servers."""
+    """A snapshot of a table: the operators' rows or the list of servers."""
 
     era: Count
     revision: Count
-    # The moment of the table, by the store's clock.
+    # When the snapshot was current, by the store's clock.
     store_s: _Seconds
-    # The store's clock at the answer, surely not too early.
+    # Upper bound of the store's clock at the time of the response.
     clock_s: _Seconds
     # The configuration as the store has it; empty for the list of servers.
     catalog: bytes = b""
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AsOf:
-    """Up to where a table is known.
+    """The version up to which a table is known.
 
     Attributes:
         position: The store's position.
-        store_s: When that was the newest, by the store's clock.
+        store_s: When that position was the latest, by the store's clock.
     """
 
     position: position_module.Position
@@ -52,12 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MinimumVersion:
-    """What an instance has been told of and does not have.
+    """The version that a snapshot must have at least.
 
     Attributes:
-        position: Of the table, at least.
-        version: Of the configuration, at least; 0 for the list of servers.
-        digest: Of that very version; empty if it is not known.
+        position: The minimum position of the table.
+        version: The minimum version of the configuration; 0 for the list of
+            servers.
+        digest: Digest of the configuration of exactly that version; empty if
+            not known.
     """
 
     position: position_module.Position
@@ -67,12 +69,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RelayedSnapshot:
-    """A whole table that another instance has sent.
+    """A snapshot received from another instance.
 
     Attributes:
-        batch: The table, as the store would answer it.
-        sent_s: When it was asked for, monotonic seconds.
-        clock_s: The store's clock at the answer, surely not too early.
+        batch: The table, in the form of a store response.
+        sent_s: When the request was sent, in monotonic seconds.
+        clock_s: Upper bound of the store's clock at the time of the response.
     """
 
     batch: feed.Batch
@@ -81,16 +83,16 @@
 
 
 def encode(message: Message) -> bytes:
-    """Returns a table's bytes."""
+    """Encodes and compresses a snapshot."""
     content = msgspec.to_builtins(message, builtin_types=(bytes,))
     return compress(cbor2.dumps(content))
 
 
 def decode(data: bytes) -> Message:
-    """Reads a table.
+    """Decompresses and decodes a snapshot.
 
     Raises:
-        ValueError: It is none; the text says why.
+        ValueError: The data is not a valid snapshot.
     """
     try:
         return msgspec.convert(cbor2.loads(decompress(data)), Message)
@@ -99,23 +101,25 @@
 
 
 def compress(data: bytes) -> bytes:
-    """Returns bytes in fewer."""
-    return zlib.compress(data, _FASTEST_PACKING)
+    """Compresses data with zlib."""
+    return zlib.compress(data, _COMPRESSION_LEVEL)
 
 
 def decompress(data: bytes) -> bytes:
-    """Returns what was packed.
+    """Decompresses zlib data.
 
     Raises:
-        ValueError: It was not, is not whole, or is longer than any table.
+        ValueError: The data is not in zlib format, is truncated, or is longer
+            than any table when decompressed.
     """
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        unpacked = unpacker.decompress(data, _MAX_DECOMPRESSED_BYTES)
+        decompressed = decompressor.decompress(data, _MAX_DECOMPRESSED_BYTES)
     except zlib.error as exc:
         raise ValueError(str(exc)) from exc
-    if unpacker.unconsumed_tail or not unpacker.eof:
+    if decompressor.unconsumed_tail or not decompressor.eof:
         raise ValueError(
-            f"not whole, or longer than {_MAX_DECOMPRESSED_BYTES} bytes"
+            "compressed snapshot is truncated or longer than"
+            f" {_MAX_DECOMPRESSED_BYTES} bytes"
         )
-    return unpacked
+    return decompressed
--- a/irisshelf/gateway/knowledge/tables.py
+++ b/irisshelf/gateway/knowledge/tables.py
@@ -1,8 +1,8 @@
-"""What an instance knows of the store's tables, whoever has told it.
+"""An instance's copies of the store's tables, from all sources.
 
-The store itself answers, the watcher of the data centre tells updates, and
-other instances hand whole tables on. All of it comes into force here, with its
-age and in the order of the store's own positions.
+Data comes as responses of the store, updates of the data centre's watcher and
+snapshots from other instances. All of it is applied here, with its age and in
+the order of the store's positions.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class Tables:
-    """Both tables of the store.
+    """Local copies of both tables of the store.
 
     Args:
-        inst: The instance in which they come into force.
+        inst: The instance to which changes are applied.
 
     Attributes:
-        watches: When each is asked for, and up to where it is known.
-        operators: What the operators have written.
+        watches: Polling state and known position of each table.
+        operators: The configuration and the evacuations.
         servers: The list of servers.
     """
 
@@ -44,13 +44,17 @@
         self._missing: dict[feed.Table, table_snapshot.MinimumVersion] = {}
 
     def as_of(self, table: feed.Table) -> table_snapshot.AsOf | None:
-        """Returns up to where a table is known; None if it is not."""
+        """Returns the known version of a table; None if there is none."""
         return self._as_of.get(table)
 
     def take_missing(
         self, table: feed.Table
     ) -> table_snapshot.MinimumVersion | None:
-        """Returns, once, what updates have told of that is not here."""
+        """Returns, once, the version that updates announced without its data.
+
+        Returns:
+            None if there is none, or if the table has reached it since.
+        """
         missing = self._missing.pop(table, None)
         known = self._as_of.get(table)
         if missing and known and known.position >= missing.position:
@@ -60,16 +64,16 @@
     def apply_answer(
         self, table: feed.Table, batch: feed.Batch, sent_s: float, now: float
     ) -> bool:
-        """Takes an answer of the store.
+        """Applies a response of the store.
 
         Args:
-            table: What was asked for.
-            batch: The answer.
-            sent_s: When the call was sent.
+            table: The table that was requested.
+            batch: The response.
+            sent_s: When the request was sent, in monotonic seconds.
             now: Monotonic seconds.
 
         Returns:
-            Whether it tells the newest state.
+            Whether the response is the latest known state.
         """
         newest = self.watches[table].answered(
             batch.position, now, whole=batch.whole
@@ -79,31 +83,31 @@
         if table is _SERVERS:
             self.servers.apply_batch(batch, now)
         else:
-            brought = self.operators.apply_batch(batch, now)
+            replaced = self.operators.apply_batch(batch, now)
             if batch.complete:
-                self._confirm(batch, sent_s, now, brought=brought)
+                self._confirm(batch, sent_s, now, replaced=replaced)
         if batch.complete:
-            self._known_to(table, batch.position, batch.store_s)
+            self._record_version(table, batch.position, batch.store_s)
         return True
 
     def apply_snapshot(
         self,
         table: feed.Table,
-        relayed: table_snapshot.RelayedSnapshot,
+        snapshot: table_snapshot.RelayedSnapshot,
         now: float,
     ) -> bool:
-        """Takes a whole table from another instance.
+        """Applies a snapshot from another instance.
 
         Returns:
-            Whether it tells more than is known.
+            Whether the snapshot is newer than the local copy.
         """
-        batch = relayed.batch
-        fresh = self._inst.freshness
+        batch = snapshot.batch
+        freshness = self._inst.freshness
         era = batch.position.era
-        fresh.heard_clock(
-            sent_s=relayed.sent_s, clock_s=relayed.clock_s, era=era
+        freshness.heard_clock(
+            sent_s=snapshot.sent_s, clock_s=snapshot.clock_s, era=era
         )
-        as_of_s = fresh.time_of(batch.store_s, now, era)
+        as_of_s = freshness.time_of(batch.store_s, now, era)
         if not self.watches[table].relayed(batch.position, as_of_s):
             return False
         if table is _SERVERS:
@@ -111,20 +115,20 @@
         else:
             self.operators.apply_batch(batch, now)
             if not self.operators.store_is_behind:
-                fresh.confirmed(as_of_s)
+                freshness.confirmed(as_of_s)
                 self.watches[_CATALOG].caught_up(as_of_s)
-        self._known_to(table, batch.position, batch.store_s)
+        self._record_version(table, batch.position, batch.store_s)
         return True
 
     @functools.singledispatchmethod
     def apply_update(
         self, update: shared_watch.Update, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
-        """Takes an update of the watcher.
+        """Applies an update of the watcher.
 
         Args:
             update: The update.
-            as_of_s: Its moment, monotonic seconds.
+            as_of_s: When it was current, in monotonic seconds.
             now: Monotonic seconds.
         """
         raise TypeError(f"update is {update!r}, allowed: {shared_watch.Update}")
@@ -150,7 +154,7 @@
             if not self.operators.store_is_behind:
                 self._inst.freshness.confirmed(as_of_s)
             watch.follows_to(update.position)
-            self._known_to(_CATALOG, update.position, update.store_s)
+            self._record_version(_CATALOG, update.position, update.store_s)
         return verdict
 
     @apply_update.register
@@ -168,28 +172,28 @@
             self.servers.apply_changes(update.changes, update.position, now)
             watch.follows_to(update.position)
         if verdict in (_Verdict.APPLY, _Verdict.CURRENT):
-            self._known_to(_SERVERS, update.position, update.store_s)
+            self._record_version(_SERVERS, update.position, update.store_s)
         return verdict
 
     def make_update(
         self, table: feed.Table, batch: feed.Batch, now: float
     ) -> shared_watch.Update | None:
-        """Returns what readers are told after an answer; None for nothing."""
+        """Returns the update to send to readers after a response, if any."""
         if table is _SERVERS:
             return self.servers.make_update(batch.store_s, now)
         return self.operators.make_update(batch)
 
     def expire(self, now: float) -> None:
-        """Drops what has lapsed and did not come back."""
+        """Drops lapsed entries that have not been written again."""
         self.servers.expire(now)
         if self.servers.take_reread_due(now):
             self.watches[_SERVERS].forgotten()
         self.operators.expire(now)
 
     def _confirm(
-        self, batch: feed.Batch, sent_s: float, now: float, *, brought: bool
+        self, batch: feed.Batch, sent_s: float, now: float, *, replaced: bool
     ) -> None:
-        """Notes as of when the configuration in force was the newest."""
+        """Records when the configuration in force was the latest."""
         era = batch.position.era
         if self.operators.store_is_behind:
             self._inst.log.problem(
@@ -199,16 +203,19 @@
                 era=era,
             )
             return
-        fresh = self._inst.freshness
-        fresh.told(
+        freshness = self._inst.freshness
+        freshness.told(
             sent_s=sent_s, received_s=now, store_s=batch.store_s, era=era
         )
-        # One that was known need not be transferred again, so that its transfer
-        # is no reason to read the newest alone the next time.
-        as_of_s = fresh.time_of(batch.store_s, now, era) if brought else now
+        # The transfer time of a new configuration counts as lag, which may make
+        # the next poll read the latest version instead of all changes. One that
+        # was already known need not be transferred, so its time does not count.
+        as_of_s = (
+            freshness.time_of(batch.store_s, now, era) if replaced else now
+        )
         self.watches[_CATALOG].caught_up(as_of_s)
 
-    def _known_to(
+    def _record_version(
         self,
         table: feed.Table,
         position: position_module.Position,
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -299,7 +299,7 @@
                 "/catalog", lambda fields: table_snapshot.encode(message)
             )
     handing = reader.follower._relay
-    handed = handing.fetch(_CATALOG, wanted, within_s=0.5)
+    handed = handing.fetch(_CATALOG, wanted, timeout_s=0.5)
     assert handed is None
     assert reader.told("relayed_table_unreadable")
 
