--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -1,4 +1,4 @@
-"""What counts as an end under a request, and whose word of it."""
+"""Which server crashes count against a request, as all instances know them."""
 
 import gevent
 import pytest
@@ -14,7 +14,7 @@
 
 Fault = server_module.Fault
 _BODY = b"the one"
-_CONTENT = suspects.content_of("blue", "POST", "/alarm/1", _BODY)
+_FINGERPRINT = suspects.content_of("blue", "POST", "/alarm/1", _BODY)
 
 
 @pytest.fixture
@@ -28,12 +28,12 @@
 def _stages(fleet):
     now = boottime.now()
     return [
-        e.inst.crashes.suspects.judge(_CONTENT, now).stage.value
+        e.inst.crashes.suspects.judge(_FINGERPRINT, now).stage.value
         for e in fleet.entries
     ]
 
 
-def _end_under(fleet, times=1):
+def _crash_under(fleet, times=1):
     for one in fleet.plain:
         one.ends_under = lambda run: run.body == _BODY
         one.away_s = 60.0
@@ -44,26 +44,26 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "stage"), [(1, "suspect"), (2, "suspect"), (3, "barred")]
+    ("crashes", "stage"), [(1, "suspect"), (2, "suspect"), (3, "barred")]
 )
-def test_all_instances_hear_of_an_end(fleet, ends, stage):
-    _end_under(fleet, ends)
+def test_all_instances_learn_of_a_crash(fleet, crashes, stage):
+    _crash_under(fleet, crashes)
     fleet.wait(lambda: _stages(fleet) == [stage] * 4)
 
 
-def test_word_reaches_instances_that_are_known_to_others_alone(make_world):
-    """In large fleets nobody knows all of the other data centres."""
+def test_crashes_reach_instances_that_the_sender_does_not_know(make_world):
+    """In a large fleet an instance knows only some of other data centres."""
     world = make_world(servers=8, data_centres=("a", "b", "b", "b", "b", "b"))
     first, *others = world.entries
     for other in others[1:]:
         first.roster.left(other.member.name)
-    _end_under(world, 1)
+    _crash_under(world, 1)
     world.wait(lambda: _stages(world) == ["suspect"] * 6)
 
 
 @pytest.mark.parametrize("target", ["/valve/1", "/digest/1"])
-def test_one_try_ends_one_server(fleet, target):
-    """Though the route allows a second send."""
+def test_one_request_crashes_one_server(fleet, target):
+    """The request is not retried, though the route allows that."""
     for one in [*fleet.plain, *fleet.engines]:
         one.ends_under = lambda run: run.body == _BODY
         one.away_s = 60.0
@@ -75,24 +75,24 @@
     ("served_before", "status", "blamed"),
     [(True, 200, False), (False, 502, True)],
 )
-def test_what_was_served_lately_is_not_blamed(
+def test_a_recently_served_request_is_not_blamed(
     fleet, served_before, status, blamed
 ):
-    """It goes on to another server, as it did before."""
+    """It is retried on another server, as without crash tracking."""
     if served_before:
         fleet.ask("/valve/1", body=_BODY)
     for one in fleet.plain:
         one.always = Fault.SLOW
-    asking = gevent.spawn(fleet.ask, "/valve/1", body=_BODY)
+    request = gevent.spawn(fleet.ask, "/valve/1", body=_BODY)
     fleet.wait(lambda: any(one.working for one in fleet.plain))
     (busy,) = [one for one in fleet.plain if one.working]
     busy.crash()
-    assert asking.get().status == status
+    assert request.get().status == status
     assert bool(fleet.inst.crashes.suspects) is blamed
 
 
-def test_a_good_answer_anywhere_clears_it_everywhere(fleet):
-    _end_under(fleet, 2)
+def test_a_response_at_one_instance_clears_the_request_at_all(fleet):
+    _crash_under(fleet, 2)
     fleet.wait(lambda: _stages(fleet) == ["suspect"] * 4)
     assert fleet.ask("/alarm/1", body=_BODY, entry=3).status == 200
     fleet.wait(lambda: _stages(fleet) == ["clear"] * 4)
@@ -111,7 +111,7 @@
         Fault.HANG,
     ],
 )
-def test_what_is_no_end_of_a_server_is_not_counted(fleet, fault):
+def test_other_faults_do_not_count_as_crashes(fleet, fault):
     for one in fleet.plain:
         one.always = fault
     for _ in range(4):
@@ -119,7 +119,7 @@
     assert not any(e.inst.crashes.suspects for e in fleet.entries)
 
 
-def test_a_server_that_leaves_ends_as_planned(fleet):
+def test_the_end_of_a_leaving_server_is_no_crash(fleet):
     for one in fleet.plain:
         fleet.store.put("servers", one.server_id, one.entry("draining"))
     fleet.wait(
@@ -133,8 +133,8 @@
     assert not fleet.inst.crashes.has_ended(server)
 
 
-def test_a_server_that_has_just_been_reached_may_end(fleet):
-    """A reset, and the end of the same server right after it."""
+def test_a_server_may_crash_right_after_it_was_reached(fleet):
+    """A reset by a live server, then its crash: it has to be probed again."""
     (one,) = fleet.plain[:1]
     server = fleet.inst.directory.get(one.server_id)
     assert not fleet.inst.crashes.has_ended(server)
@@ -142,53 +142,51 @@
     assert fleet.inst.crashes.has_ended(server)
 
 
-def test_a_stream_under_way_is_not_blamed(fleet):
-    """What had events was begun long before its server ended."""
+def test_a_stream_in_progress_is_not_blamed(fleet):
+    """A stream that has sent events started long before the server crashed."""
     for one in fleet.engines:
         one.always = Fault.HANG_MIDWAY
-    asking = gevent.spawn(fleet.ask, "/query/1", body=_BODY)
+    request = gevent.spawn(fleet.ask, "/query/1", body=_BODY)
     fleet.wait(lambda: any(one.working for one in fleet.engines))
     gevent.sleep(0.05)
     (busy,) = [one for one in fleet.engines if one.working]
     busy.crash()
-    assert not asking.get().whole
+    assert not request.get().whole
     assert not fleet.inst.crashes.suspects
 
 
-@pytest.mark.parametrize("ended", [0, 2, 3])
-def test_a_datagram_counts_for_servers_that_have_ended_and_no_others(
-    fleet, ended
-):
-    """Whatever it says, an instance sees for itself."""
-    for one in fleet.plain[:ended]:
+@pytest.mark.parametrize("crashed", [0, 2, 3])
+def test_a_datagram_counts_only_for_servers_that_have_crashed(fleet, crashed):
+    """Instances verify the crashes that they are told of."""
+    for one in fleet.plain[:crashed]:
         one.close()
     for one in fleet.plain[:5]:
-        end = suspects.End(
+        crash = suspects.End(
             server=directory.key_of(one.server_id),
             at_s=boottime.now(),
         )
-        fleet.inst.crashes.heard_end(_CONTENT, end)
-    stranger = suspects.End(server=b"stray", at_s=boottime.now())
-    fleet.inst.crashes.heard_end(_CONTENT, stranger)
+        fleet.inst.crashes.heard_end(_FINGERPRINT, crash)
+    unknown = suspects.End(server=b"stray", at_s=boottime.now())
+    fleet.inst.crashes.heard_end(_FINGERPRINT, unknown)
     now = boottime.now()
-    verdict = fleet.inst.crashes.suspects.judge(_CONTENT, now)
-    assert len(verdict.ends) == ended
+    verdict = fleet.inst.crashes.suspects.judge(_FINGERPRINT, now)
+    assert len(verdict.ends) == crashed
 
 
-def test_an_end_of_a_server_that_has_left_the_list_counts(fleet):
+def test_a_crash_of_a_server_that_has_left_the_list_counts(fleet):
     gone = fleet.plain[0]
     fleet.store.drop("servers", gone.server_id)
     fleet.wait(lambda: len(fleet.inst.directory.of("crew")) == 7)
-    end = suspects.End(
+    crash = suspects.End(
         server=directory.key_of(gone.server_id), at_s=boottime.now()
     )
-    fleet.inst.crashes.heard_end(_CONTENT, end)
+    fleet.inst.crashes.heard_end(_FINGERPRINT, crash)
     assert _stages(fleet)[0] == "suspect"
 
 
-def test_an_instance_that_starts_asks_for_what_is_known(fleet):
-    _end_under(fleet, 3)
-    fresh = entry_module.Entry(
+def test_a_starting_instance_fetches_the_known_crashes(fleet):
+    _crash_under(fleet, 3)
+    new = entry_module.Entry(
         name="entry-9",
         data_centre="a",
         store=fleet.store.address,
@@ -197,24 +195,24 @@
     )
     fleet.wait(lambda: _stages(fleet) == ["barred"] * 4)
     answers = [None, fleet.entries[1].crash_gossip.snapshot()]
-    fresh.crash_gossip.catch_up(lambda: answers.pop(0))
-    fleet.entries.append(fresh)
+    new.crash_gossip.catch_up(lambda: answers.pop(0))
+    fleet.entries.append(new)
     assert _stages(fleet) == ["barred"] * 5
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff", b"\x81\x01", b"\x05"])
-def test_an_answer_that_is_none_is_borne(fleet, data):
+def test_an_invalid_snapshot_is_ignored(fleet, data):
     entry = fleet.entries[0]
     entry.crash_gossip.catch_up(lambda: data)
     assert not entry.inst.crashes.suspects
 
 
-def test_two_instances_send_a_suspect_to_the_same_server(fleet):
-    _end_under(fleet, 1)
+def test_all_instances_send_a_suspect_to_the_same_server(fleet):
+    _crash_under(fleet, 1)
     fleet.wait(lambda: _stages(fleet) == ["suspect"] * 4)
     for one in fleet.plain:
         one.always = Fault.FAIL
     for entry in range(4):
         fleet.ask("/alarm/1", body=_BODY, entry=entry)
-    took = {one.server_id for one in fleet.plain if one.runs and not one.ends}
-    assert len(took) == 1
+    used = {one.server_id for one in fleet.plain if one.runs and not one.ends}
+    assert len(used) == 1
--- a/irisshelf/tests/test_fact_gossip.py
+++ b/irisshelf/tests/test_fact_gossip.py
@@ -1,4 +1,4 @@
-"""News of servers between instances, as datagrams on loopback."""
+"""Facts about servers exchanged between instances, as datagrams on loopback."""
 
 import os
 import random
@@ -16,7 +16,7 @@
 from irisshelf.observe import decision_log
 
 _KEY = directory.key_of("s1")
-_NEWS = bytes([datagrams.Kind.SERVER_FACTS])
+_PREFIX = bytes([datagrams.Kind.SERVER_FACTS])
 
 
 class _Instance:
@@ -36,7 +36,7 @@
         self.gossip = fact_gossip.FactGossip(
             datagrams=self.datagrams,
             membership=self.membership,
-            on_fact=self._take,
+            on_fact=self._record,
             rng=random.Random(1),
         )
         self.member = roster.Member(
@@ -47,7 +47,7 @@
             gevent.spawn(self.datagrams.run),
         ]
 
-    def _take(self, fact):
+    def _record(self, fact):
         if isinstance(fact, facts.ServerLoad):
             self.loads.append(fact)
         elif isinstance(fact, facts.ServerCold):
@@ -76,29 +76,29 @@
         gevent.killall(one.greenlets)
 
 
-def _wait(until):
-    end_s = boottime.now() + 10
-    while not until() and boottime.now() < end_s:
+def _wait(condition):
+    deadline_s = boottime.now() + 10
+    while not condition() and boottime.now() < deadline_s:
         gevent.sleep(0.01)
-    assert until()
+    assert condition()
 
 
-def _news():
+def _load():
     return facts.ServerLoad(server=_KEY, work=7, at_s=boottime.now())
 
 
-@pytest.mark.parametrize("teller", range(4))
-def test_a_load_is_told_everywhere(four, teller):
-    four[teller].gossip.publish(_news())
-    others = [one for one in four if one is not four[teller]]
+@pytest.mark.parametrize("sender", range(4))
+def test_a_load_reaches_all_instances(four, sender):
+    four[sender].gossip.publish(_load())
+    others = [one for one in four if one is not four[sender]]
     _wait(lambda: all(one.loads for one in others))
-    assert {(n.server, n.work) for one in four for n in one.loads} == {
+    assert {(load.server, load.work) for one in four for load in one.loads} == {
         (_KEY, 7)
     }
 
 
-def test_news_end(four):
-    four[0].gossip.publish(_news())
+def test_facts_do_not_circulate_forever(four):
+    four[0].gossip.publish(_load())
     _wait(lambda: all(one.loads for one in four[1:]))
     gevent.sleep(1.0)
     before = [len(one.loads) for one in four]
@@ -106,7 +106,7 @@
     assert [len(one.loads) for one in four] == before
 
 
-def test_what_a_server_has_read_is_told_everywhere(four):
+def test_cached_prompt_parts_reach_all_instances(four):
     pairs = [(_KEY, bytes([n])) for n in range(100)]
     for pair in pairs:
         server, part = pair
@@ -120,15 +120,15 @@
     [
         b"",
         b"\xff\xff",
-        _NEWS,
-        _NEWS + b"\xff\xff",
-        _NEWS + cbor2.dumps({"a": 1}),
-        _NEWS + cbor2.dumps(["a", 2, [["x"]], {}]),
-        _NEWS + cbor2.dumps(["a", 2, [[_KEY, 1, "old"]], {}]),
-        _NEWS + cbor2.dumps(["a", 7, [], {}]),
+        _PREFIX,
+        _PREFIX + b"\xff\xff",
+        _PREFIX + cbor2.dumps({"a": 1}),
+        _PREFIX + cbor2.dumps(["a", 2, [["x"]], {}]),
+        _PREFIX + cbor2.dumps(["a", 2, [[_KEY, 1, "old"]], {}]),
+        _PREFIX + cbor2.dumps(["a", 7, [], {}]),
     ],
 )
-def test_garbage_is_told_once_and_left(four, data):
+def test_invalid_datagrams_are_logged_once_and_dropped(four, data):
     four[0].datagrams.dispatch(data)
     four[0].datagrams.dispatch(data)
     assert four[0].problems == ["news_unreadable"]
@@ -136,21 +136,21 @@
 
 
 @pytest.mark.parametrize("age_ms", [-1, 60_000])
-def test_news_of_no_sensible_age_are_left(four, age_ms):
+def test_loads_with_an_implausible_age_are_dropped(four, age_ms):
     loads = [[_KEY, 1, age_ms]]
     four[0].gossip.receive(["a", 2, loads, {}])
     assert four[0].loads == []
 
 
-def test_without_news_nothing_is_sent(four):
+def test_without_facts_nothing_is_sent(four):
     four[0].gossip.flush()
     gevent.sleep(0.05)
     assert [one.loads for one in four] == [[], [], [], []]
 
 
 @pytest.mark.parametrize("servers", [1, 40, 300])
-def test_a_datagram_takes_as_much_as_fits(four, servers):
-    """Where the word on parts is bound by a count, it comes seconds late."""
+def test_a_datagram_carries_as_many_facts_as_fit(four, servers):
+    """With a fixed limit of parts per datagram, parts arrive seconds late."""
     sent = []
     four[0].datagrams.send = lambda address, data: sent.append(data)
     for number in range(300):
@@ -166,10 +166,10 @@
     assert longest >= 0.75 * datagrams.MAX_DATAGRAM_BYTES
 
 
-def test_coldness_is_told_everywhere_with_what_is_left(four):
+def test_a_cold_start_reaches_all_instances_with_its_remaining_time(four):
     until_s = boottime.now() + 3.0
     four[0].gossip.publish(facts.ServerCold(server=_KEY, until_s=until_s))
     _wait(lambda: all(one.colds for one in four[1:]))
     for one in four[1:]:
-        # On one machine all have one clock; what is left is in whole ms.
+        # All instances here share a clock; the remaining time is in whole ms.
         assert until_s - 0.01 <= one.colds[0].until_s <= until_s + 1.0
--- a/irisshelf/tests/test_gateway_store.py
+++ b/irisshelf/tests/test_gateway_store.py
@@ -1,4 +1,4 @@
-"""The store's troubles: what an instance believes, and for how long."""
+"""Store failures: which data an instance keeps using, and for how long."""
 
 import gevent
 import pytest
@@ -24,7 +24,7 @@
     world.store.put("op", "config", world_module.config(version, **more))
 
 
-def test_without_a_configuration_nothing_is_known():
+def test_without_a_configuration_requests_are_rejected():
     world = world_module.World(configured=False)
     answer = world.ask("/alarm/1", Request_Id="early")
     assert (answer.status, world.inst.ready) == (503, False)
@@ -37,14 +37,14 @@
     world.close()
 
 
-def test_a_new_configuration_comes_into_force(world):
+def test_a_new_configuration_is_applied(world):
     _put(world, 2, routes=[world_module.route("/new/", "safe", "crew")])
     world.wait(lambda: world.inst.catalog.version == 2)
     assert world.ask("/new/1").status == 200
     assert world.ask("/valve/1").status == 404
 
 
-def test_an_older_configuration_does_not_come_back(world):
+def test_an_older_configuration_is_ignored(world):
     _put(world, 5)
     world.wait(lambda: world.inst.catalog.version == 5)
     _put(world, 4, routes=[])
@@ -68,14 +68,14 @@
     assert world.ask("/valve/1").status == 200
 
 
-def test_forgotten_history_is_read_anew(world):
+def test_a_lost_history_leads_to_a_snapshot_read(world):
     world.store.forget_history()
     _put(world, 2)
     world.wait(lambda: world.inst.catalog.version == 2)
 
 
-def test_a_long_answer_over_a_slow_link_is_waited_for():
-    """It takes longer than a short one may; only a pause ends it."""
+def test_a_long_response_over_a_slow_link_does_not_time_out():
+    """It may take longer than a timeout, as long as data keeps arriving."""
     world = world_module.World(configured=False)
     world.store.mode = Mode.TRICKLE
     _put(world, 1)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("mode", [Mode.BUSY, Mode.RESET, Mode.SILENT])
-def test_after_trouble_the_store_is_followed_again(world, mode):
+def test_the_store_is_followed_again_after_a_failure(world, mode):
     world.store.mode = mode
     _put(world, 2)
     world.wait(lambda: not _store_up(world))
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("mode", [Mode.BUSY, Mode.RESET, Mode.SILENT])
-def test_keys_hold_no_longer_than_the_store_confirms_them(mode):
+def test_keys_expire_without_confirmation_by_the_store(mode):
     bounds = settings.Bounds(key_withdrawn_ms=3500)
     world = world_module.World(bounds=bounds)
     world.store.mode = mode
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("mode", [Mode.BUSY, Mode.RESET, Mode.SILENT])
-def test_keys_hold_on_without_the_store_where_the_operator_allows_it(mode):
+def test_keys_stay_valid_without_the_store_if_not_strict(mode):
     bounds = settings.Bounds(key_withdrawn_ms=200, keys_strict=False)
     world = world_module.World(bounds=bounds)
     world.store.mode = mode
@@ -122,7 +122,7 @@
     world.close()
 
 
-def test_keys_do_not_hold_for_ever_without_the_store():
+def test_keys_expire_eventually_even_if_not_strict():
     bounds = settings.Bounds(keys_strict=False, keys_unconfirmed_s=3.0)
     world = world_module.World(bounds=bounds)
     world.store.mode = Mode.BUSY
@@ -132,27 +132,27 @@
     world.close()
 
 
-def test_a_withdrawn_key_is_refused(world):
+def test_a_withdrawn_key_is_rejected(world):
     _put(world, 2, tenants=[{"name": "blue", "apiKeys": ["another"]}])
     world.wait(lambda: world.inst.catalog.version == 2)
     assert world.ask("/alarm/1").status == 401
 
 
 @pytest.mark.parametrize("how", ["leaving", "gone"])
-def test_a_server_that_leaves_gets_nothing_more(world, how):
+def test_a_leaving_server_gets_no_more_requests(world, how):
     leaver = world.plain[0]
     if how == "leaving":
         entry = leaver.entry("draining")
         world.store.put("servers", leaver.server_id, entry)
     else:
         world.store.drop("servers", leaver.server_id)
-    world.wait(lambda: not _takes_work(world, leaver))
+    world.wait(lambda: not _is_ready(world, leaver))
     before = len(leaver.runs)
     answers = {world.ask("/alarm/1").status for _ in range(6)}
     assert (answers, len(leaver.runs)) == ({200}, before)
 
 
-def test_entries_that_lapse_while_the_store_is_away_are_kept_a_while(world):
+def test_entries_that_lapse_in_an_outage_are_kept_for_a_grace_period(world):
     world.store.mode = Mode.BUSY
     world.wait(lambda: not _store_up(world))
     lapsed = [*world.plain, *world.engines]
@@ -169,36 +169,36 @@
     assert world.ask("/alarm/1").status == 200
 
 
-def test_a_lapses_time_runs_from_the_stores_return(world):
-    """Not from when the entry is missed: it may be gone for good by then."""
+def test_the_grace_period_starts_when_the_store_recovers(world):
+    """Not when the entry is found missing, which may be too late."""
     listed = world.follower.tables.servers
     leaver = world.plain[0]
-    back_s = boottime.now() - 1.5
-    listed.on_store_regained(back_s)
+    recovered_s = boottime.now() - 1.5
+    listed.on_store_regained(recovered_s)
     gone = feed.Item(key=leaver.server_id, value=None)
     batch = feed.Batch(
         items=(gone,), position=_at(99), store_s=0.0, whole=False
     )
     listed.apply_batch(batch, boottime.now())
     assert world.inst.directory.get(leaver.server_id) is not None
-    end_s = back_s + directory.LAPSE_GRACE_S + 0.01
-    assert world.inst.directory.expire(end_s) == (leaver.server_id,)
+    grace_end_s = recovered_s + directory.LAPSE_GRACE_S + 0.01
+    assert world.inst.directory.expire(grace_end_s) == (leaver.server_id,)
 
 
-def test_an_entry_that_is_missed_before_the_stores_return_is_kept(world):
-    """The watcher may tell of it first: it has read the list already."""
+def test_an_entry_found_missing_before_the_store_recovers_is_kept(world):
+    """The watcher may have read the list before this instance recovers."""
     listed = world.follower.tables.servers
     leaver = world.plain[0]
     gone = directory.Change(entry_id=leaver.server_id, server=None)
     listed.on_store_lost()
-    missed_s = boottime.now()
-    listed.apply_changes((gone,), _at(99), missed_s)
+    noticed_s = boottime.now()
+    listed.apply_changes((gone,), _at(99), noticed_s)
     assert world.inst.directory.get(leaver.server_id) is not None
-    end_s = missed_s + directory.LAPSE_GRACE_S + 0.01
-    assert world.inst.directory.expire(end_s) == (leaver.server_id,)
+    grace_end_s = noticed_s + directory.LAPSE_GRACE_S + 0.01
+    assert world.inst.directory.expire(grace_end_s) == (leaver.server_id,)
 
 
-def _takes_work(world, one):
+def _is_ready(world, one):
     listed = world.inst.directory.get(one.server_id)
     return listed is not None and listed.state.value == "ready"
 
@@ -220,19 +220,21 @@
     assert [world.inst.answer_readiness() for _ in range(2)] == [True, True]
     world.inst.stopping_since_s = world.inst.now()
     assert not world.inst.answer_readiness()
-    told = [(f["ready"], f["why"]) for n, f in lines if n == "readiness"]
-    assert told == [(True, ""), (False, "stopping")]
+    logged = [(f["ready"], f["why"]) for n, f in lines if n == "readiness"]
+    assert logged == [(True, ""), (False, "stopping")]
 
 
-def test_after_trouble_the_store_is_asked_for_what_it_knows_now(world):
-    """A held call would leave the age of the keys in doubt as long as it is."""
+def test_the_first_poll_after_a_failure_is_no_long_poll(world):
+    """The age of the keys would be unknown until a long poll returns."""
     world.store.mode = Mode.SILENT
     world.wait(lambda: not _store_up(world))
     seen = len(world.store.asked)
     world.store.mode = Mode.WELL
     world.wait(lambda: _store_up(world))
-    holds = [ms for table, ms in world.store.asked[seen:] if table == "op"]
-    assert holds[0] == 0
+    timeouts_ms = [
+        ms for table, ms in world.store.asked[seen:] if table == "op"
+    ]
+    assert timeouts_ms[0] == 0
 
 
 _CATALOG, _SERVERS = feed.Table.CATALOG, feed.Table.SERVERS
@@ -266,7 +268,7 @@
         ),
     ],
 )
-def test_calls_are_held_as_long_as_the_bounds_allow(table, bounds, seconds):
+def test_long_polls_last_as_long_as_the_bounds_allow(table, bounds, seconds):
     assert store_timing.long_poll_s(table, settings.Bounds(**bounds)) == seconds
 
 
@@ -274,18 +276,21 @@
     ("table", "leaving_ms", "seconds"),
     [(_CATALOG, 2000, 0.3), (_SERVERS, 2000, 1.0), (_SERVERS, 3000, 1.5)],
 )
-def test_changes_are_gathered_well_within_the_bound(table, leaving_ms, seconds):
+def test_changes_are_coalesced_well_within_the_bound(
+    table, leaving_ms, seconds
+):
     bounds = settings.Bounds(server_leaving_ms=leaving_ms)
     assert store_timing.coalesce_s(table, bounds) == seconds
 
 
 @pytest.mark.parametrize("mode", [Mode.BUSY, Mode.RESET, Mode.SILENT])
-def test_nobody_is_refused_for_good_by_what_may_be_out_of_date(mode):
-    """A caller does not repeat after 401 and 404; another instance may serve.
+def test_an_outdated_configuration_causes_no_permanent_rejections(mode):
+    """An unknown key or route is answered with 503 if it may just be new.
 
-    Seen where an instance that had been cut off refused keys and routes that
-    had been added five to ten seconds before, and logged that very age. Cause:
-    the age of the configuration was looked at for withdrawn keys alone.
+    Callers do not retry after 401 and 404, though another instance may know the
+    key or route. The fault: an instance cut off from the store rejected keys
+    and routes added five to ten seconds before, because the configuration's age
+    was only considered for withdrawn keys.
     """
     bounds = settings.Bounds(catalog_in_force_ms=300, keys_strict=False)
     world = world_module.World(bounds=bounds)
@@ -304,15 +309,13 @@
     world.close()
 
 
-def test_an_entry_that_ended_is_not_kept_past_the_bound_for_ones_own_outage(
-    world,
-):
-    """A reader without the store hears by its watcher that a server has gone.
+def test_an_own_outage_does_not_extend_the_grace_period(world):
+    """A removed server is dropped in time though the store is regained late.
 
-    Seen: a request reached a server 3.4 s after its leaving was accepted (bound
-    3 s). The grace for lapsed entries, 2.2 s, does not end before as much time
-    has passed since this instance itself has the store again, however long the
-    store was back by then.
+    A reader without the store learns from its watcher that a server is gone.
+    The fault: a request reached a server 3.4 s after its leaving was accepted
+    (bound 3 s), because the grace period of lapsed entries, 2.2 s, was counted
+    from when this instance itself regained the store.
     """
     listed = server_list.ServerList(inst=world.inst)
     name = world.plain[0].server_id
@@ -324,25 +327,23 @@
     assert world.inst.directory.get(name) is None
 
 
-def test_a_leaving_is_known_in_time_though_the_answer_that_tells_it_is_lost(
-    world,
-):
-    """The held call on the servers is answered into nothing, and no other is.
+def test_a_leaving_server_is_known_in_time_if_the_response_is_lost(world):
+    """Only the response to the long poll for the servers is lost.
 
-    Seen: requests reached a server ten seconds after its leaving was accepted.
-    The store was silent for 0.4 s just then; it answered the call on the
-    configuration all the while, and the one on the servers was waited for for
-    ten seconds more before it was taken for lost.
+    The fault: requests reached a server ten seconds after its leaving was
+    accepted. The store was silent for 0.4 s at that moment. Polls for the
+    configuration were answered all the while, but the poll for the servers only
+    timed out ten seconds later.
     """
-    one = world.plain[0]
+    leaver = world.plain[0]
     world.wait(
         lambda: any(t == "servers" and ms for t, ms in world.store.asked)
     )
     world.store.mode = store.Mode.SILENT
-    world.store.put("servers", one.server_id, one.entry("draining"))
+    world.store.put("servers", leaver.server_id, leaver.entry("draining"))
     gevent.sleep(0.4)
     world.store.mode = store.Mode.WELL
     bound_s = world.inst.cfg.bounds.server_leaving_ms / 1000
     gevent.sleep(bound_s + 0.6)
-    listed = world.inst.directory.get(one.server_id)
+    listed = world.inst.directory.get(leaver.server_id)
     assert listed.state is directory.ServerState.LEAVING
--- a/irisshelf/tests/test_peer_discovery.py
+++ b/irisshelf/tests/test_peer_discovery.py
@@ -1,4 +1,4 @@
-"""Instances that find each other, and agree on the first of them."""
+"""Instances discover each other and agree on a leader."""
 
 import os
 
@@ -22,65 +22,67 @@
     )
 
 
-def _roster(own, others, now=0.0):
-    made = roster.Roster(own=_member(own))
+def _membership(own, others, now=0.0):
+    membership = roster.Roster(own=_member(own))
     for name in others:
-        made.heard(_member(name), now)
-    return made
+        membership.heard(_member(name), now)
+    return membership
 
 
 def _others(name):
     return [other for other in _NAMES if other != name]
 
 
-def test_all_instances_agree_on_the_first():
-    found = {name: _roster(name, _others(name)).first(1.0) for name in _NAMES}
-    (first,) = {name for name, whom in found.items() if whom is None}
-    assert {whom.name for whom in found.values() if whom} == {first}
+def test_all_instances_agree_on_the_leader():
+    found = {
+        name: _membership(name, _others(name)).first(1.0) for name in _NAMES
+    }
+    (first,) = {name for name, leader in found.items() if leader is None}
+    assert {leader.name for leader in found.values() if leader} == {first}
 
 
 @pytest.mark.parametrize("data_centre", ["a", "b"])
-def test_an_instance_alone_is_the_first(data_centre):
-    made = roster.Roster(own=_member("1"))
+def test_the_only_instance_of_a_data_centre_is_its_leader(data_centre):
+    membership = roster.Roster(own=_member("1"))
     if data_centre == "b":
         for name in _NAMES[2:]:
-            made.heard(_member(name, "b"), 0.0)
-    assert made.first(1.0) is None
+            membership.heard(_member(name, "b"), 0.0)
+    assert membership.first(1.0) is None
 
 
 @pytest.mark.parametrize("how", ["left", "silent"])
-def test_a_lost_first_is_replaced(how):
-    name = next(n for n in _NAMES if _roster(n, _others(n)).first(1.0))
-    made = _roster(name, _others(name))
-    first = made.first(1.0)
+def test_a_lost_leader_is_replaced(how):
+    name = next(n for n in _NAMES if _membership(n, _others(n)).first(1.0))
+    membership = _membership(name, _others(name))
+    first = membership.first(1.0)
     now = 1.0
     if how == "left":
-        made.left(first.name)
+        membership.left(first.name)
     else:
         now = roster.FORGET_S + 0.5
         for other in _NAMES:
             if other not in (name, first.name):
-                made.heard(_member(other), now)
-    assert made.first(now) != first
+                membership.heard(_member(other), now)
+    assert membership.first(now) != first
 
 
-def test_old_news_of_an_instance_does_not_keep_it():
-    made = _roster("1", ["2"], now=0.0)
-    made.heard(_member("2"), -5.0)
-    assert [m.name for m, _ in made.members("a", 5.0)] == ["2"]
-    assert made.members("a", roster.FORGET_S + 0.1) == []
+def test_older_reports_of_an_instance_do_not_extend_its_membership():
+    membership = _membership("1", ["2"], now=0.0)
+    membership.heard(_member("2"), -5.0)
+    assert [m.name for m, _ in membership.members("a", 5.0)] == ["2"]
+    assert membership.members("a", roster.FORGET_S + 0.1) == []
 
 
-def test_an_asker_is_told_of_its_own_data_centre_and_a_few_elsewhere():
-    made = _roster("1", ["2", "3"])
+def test_a_sample_has_all_local_instances_and_a_few_remote_ones():
+    membership = _membership("1", ["2", "3"])
     for name in _NAMES[4:]:
-        made.heard(_member(name, "b"), 0.0)
-    told = [m.data_centre for m, _ in made.sample("a", 1.0, 2)]
-    assert sorted(told) == ["a", "a", "a", "b", "b"]
+        membership.heard(_member(name, "b"), 0.0)
+    centres = [m.data_centre for m, _ in membership.sample("a", 1.0, 2)]
+    assert sorted(centres) == ["a", "a", "a", "b", "b"]
 
 
 class _Instance:
-    """One instance's neighbours, listening on loopback."""
+    """Peer discovery of one instance, listening on loopback."""
 
     def __init__(self, name, seeds=()):
         self._fd = os.open(os.devnull, os.O_WRONLY)
@@ -89,13 +91,13 @@
         self._listener = listener.Listener(
             address="127.0.0.1:0",
             limits=lambda: _LIMITS,
-            handle=lambda request, conn: self.own.handle(request, conn),
+            handle=lambda request, conn: self.peers.handle(request, conn),
             refuse=lambda status, text: ([], b""),
             log=log,
         )
         self._listener.start()
         self.address = f"127.0.0.1:{self._listener.port}"
-        self.own = peer_discovery.PeerDiscovery(
+        self.peers = peer_discovery.PeerDiscovery(
             own=roster.Member(name=name, address=self.address, data_centre="a"),
             seeds=seeds,
             log=log,
@@ -104,56 +106,58 @@
 
     def names(self):
         now = boottime.now()
-        return sorted(m.name for m, _ in self.own.membership.members("a", now))
+        return sorted(
+            m.name for m, _ in self.peers.membership.members("a", now)
+        )
 
 
-def _wait(until):
-    end_s = boottime.now() + 10
-    while not until() and boottime.now() < end_s:
+def _wait(condition):
+    deadline_s = boottime.now() + 10
+    while not condition() and boottime.now() < deadline_s:
         gevent.sleep(0.05)
-    assert until()
+    assert condition()
 
 
-def test_instances_find_each_other_by_a_seed_and_say_goodbye():
+def test_instances_discover_each_other_by_a_seed_and_announce_departure():
     first = _Instance("1")
     others = [_Instance(name, seeds=(first.address,)) for name in ("2", "3")]
     everyone = [first, *others]
-    loops = [gevent.spawn(one.own.run) for one in everyone]
+    greenlets = [gevent.spawn(one.peers.run) for one in everyone]
     _wait(lambda: [len(one.names()) for one in everyone] == [2, 2, 2])
     _wait(lambda: all(2 in one.counts for one in everyone))
-    gevent.killall(loops)
-    others[0].own.announce_departure()
+    gevent.killall(greenlets)
+    others[0].peers.announce_departure()
     _wait(lambda: first.names() == ["3"])
 
 
-def test_an_instance_that_has_said_goodbye_asks_no_more():
+def test_an_instance_that_has_announced_departure_sends_no_more_requests():
     first = _Instance("1")
     leaver = _Instance("2", seeds=(first.address,))
-    loop = gevent.spawn(leaver.own.run)
+    greenlet = gevent.spawn(leaver.peers.run)
     _wait(lambda: first.names() == ["2"])
-    leaver.own.announce_departure()
-    _wait(loop.ready)
+    leaver.peers.announce_departure()
+    _wait(greenlet.ready)
     assert first.names() == []
 
 
 @pytest.mark.parametrize("seed", ["127.0.0.1:9", "not-an-address"])
-def test_a_seed_that_is_not_there_is_borne(seed):
+def test_an_unreachable_seed_is_tolerated(seed):
     alone = _Instance("1", seeds=(seed,))
-    loop = gevent.spawn(alone.own.run)
+    greenlet = gevent.spawn(alone.peers.run)
     _wait(lambda: alone.counts == [0])
-    assert not loop.ready()
-    loop.kill()
+    assert not greenlet.ready()
+    greenlet.kill()
 
 
-def test_an_instance_asks_whoever_answers():
+def test_a_request_is_sent_to_the_next_instance_until_one_answers():
     first = _Instance("1")
-    asker = _Instance("2", seeds=(first.address,))
-    assert asker.own.request_any("/what") is None
-    loop = gevent.spawn(asker.own.run)
+    requester = _Instance("2", seeds=(first.address,))
+    assert requester.peers.request_any("/what") is None
+    greenlet = gevent.spawn(requester.peers.run)
     _wait(lambda: first.names() == ["2"])
     gone = roster.Member(name="0", address="127.0.0.1:9", data_centre="a")
-    asker.own.membership.heard(gone, boottime.now())
-    assert asker.own.request_any("/what") is None
-    first.own.register_handler("/what", lambda fields: b"this")
-    assert asker.own.request_any("/what") == b"this"
-    loop.kill()
+    requester.peers.membership.heard(gone, boottime.now())
+    assert requester.peers.request_any("/what") is None
+    first.peers.register_handler("/what", lambda fields: b"this")
+    assert requester.peers.request_any("/what") == b"this"
+    greenlet.kill()
--- a/irisshelf/tests/test_store_outage.py
+++ b/irisshelf/tests/test_store_outage.py
@@ -1,9 +1,9 @@
-"""When callers come back who are refused as the store is away.
+"""The Retry-After time of requests rejected in an outage of the store.
 
-The pattern: keys hold no longer than the store confirms them, and the store
-is away for some seconds more. A caller tries again once, so that it has to
-come back late enough; another instance serves it at once if only this one is
-cut off. That others are cut off too is known from the watcher's silence.
+Keys expire without the store's confirmation, and an outage may last some
+seconds longer. Callers retry only once, so that Retry-After has to cover the
+rest of the outage. If only this instance is cut off, however, another one can
+serve the retry at once. The watcher's silence shows that others are cut off.
 """
 
 import random
@@ -21,8 +21,8 @@
 _Role = shared_watch.Role
 
 
-class _Updates:
-    """Says which role the instance has; tells nobody anything."""
+class _FakeUpdates:
+    """Sets the role of the instance; broadcasts are only recorded."""
 
     def __init__(self, role):
         self._role = role
@@ -46,35 +46,35 @@
     made.close()
 
 
-def _take_role(world, role):
-    updates = _Updates(role)
+def _set_role(world, role):
+    updates = _FakeUpdates(role)
     world.follower._updates = updates
     updates.subscribe(world.follower.apply_update)
     return updates
 
 
-def _refused(world):
+def _retry_after_s(world):
     answer = world.ask("/alarm/1")
     assert answer.status == 503
     return float(answer.headers["retry-after"])
 
 
 @pytest.mark.parametrize("role", list(_Role))
-def test_callers_return_late_only_where_others_are_cut_off_too(short, role):
-    _take_role(short, role)
+def test_retry_after_is_long_only_if_others_are_cut_off_too(short, role):
+    _set_role(short, role)
     short.store.mode = store.Mode.BUSY
     short.wait(lambda: not short.inst.keys_hold())
-    # Time enough that the watch of a reader has been silent.
+    # Long enough for a reader to consider its watcher silent.
     short.wait(lambda: short.inst.freshness.age_s(boottime.now()) > 1.0)
-    told_s = _refused(short)
+    retry_after_s = _retry_after_s(short)
     if role is _Role.READER:
-        assert 0.7 <= told_s <= 5.0
+        assert 0.7 <= retry_after_s <= 5.0
     else:
-        assert told_s <= 0.2
+        assert retry_after_s <= 0.2
 
 
-def test_no_caller_is_told_to_wait_for_long_once_the_store_is_back(short):
-    _take_role(short, _Role.READER)
+def test_there_is_no_long_retry_after_once_the_store_has_recovered(short):
+    _set_role(short, _Role.READER)
     short.store.mode = store.Mode.BUSY
     short.wait(lambda: short.inst.outage_since_s is not None)
     short.store.mode = store.Mode.WELL
@@ -82,12 +82,12 @@
     assert short.ask("/alarm/1").status == 200
 
 
-def test_a_reader_whose_watcher_is_well_sends_callers_on_at_once(short):
-    """Only this one is turned away, and cannot read a new configuration."""
-    updates = _take_role(short, _Role.READER)
+def test_retry_after_is_short_while_the_watcher_has_the_store(short):
+    """Only this reader is rejected and cannot read a new configuration."""
+    updates = _set_role(short, _Role.READER)
     short.store.mode = store.Mode.BUSY
 
-    def told_of_more():
+    def announce_newer_version():
         update = shared_watch.CatalogUpdate(
             store_s=boottime.now(),
             version=9,
@@ -96,29 +96,29 @@
         updates.deliver(update)
         return not short.inst.keys_hold()
 
-    short.wait(told_of_more)
-    assert _refused(short) <= 0.2
+    short.wait(announce_newer_version)
+    assert _retry_after_s(short) <= 0.2
 
 
-def _at_once(lasted_s, rng):
+def _immediate(lasted_s, rng):
     return 0.1
 
 
 @pytest.mark.parametrize(
     ("retry_after_s", "least", "most"),
-    [(_at_once, 0.0, 0.1), (outage.retry_after_s, 0.75, 1.0)],
+    [(_immediate, 0.0, 0.1), (outage.retry_after_s, 0.75, 1.0)],
 )
-def test_more_of_those_who_come_back_are_served(retry_after_s, least, most):
-    """Outages of 4.5 to 9 s; refusals begin 3.8 s after the store's last word.
+def test_most_retries_are_served(retry_after_s, least, most):
+    """Outages of 4.5 to 9 s; rejections start 3.8 s after the last response.
 
-    A caller tries once more, 4 s later at the most.
+    A caller retries once, at most 4 s later.
     """
     rng = random.Random(7)
     served = 0
     for _ in range(2000):
         outage_s = rng.uniform(4.5, 9.0)
-        came_s = rng.uniform(3.8, outage_s)
-        back_s = came_s + min(4.0, retry_after_s(came_s, rng))
-        # Instances have the store's word again within 0.3 s of its return.
-        served += back_s > outage_s + 0.3
+        rejected_s = rng.uniform(3.8, outage_s)
+        retried_s = rejected_s + min(4.0, retry_after_s(rejected_s, rng))
+        # Instances have a response within 0.3 s of the store's recovery.
+        served += retried_s > outage_s + 0.3
     assert least <= served / 2000 < most
--- a/irisshelf/tests/test_store_updates.py
+++ b/irisshelf/tests/test_store_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the store's tables between instances, as datagrams on loopback."""
+"""Updates of the store's tables, broadcast as datagrams on loopback."""
 
 import os
 import random
@@ -30,7 +30,7 @@
 
 
 class _Instance:
-    """An instance that follows the store, without callers."""
+    """An instance that follows the store; it accepts no requests."""
 
     def __init__(self, name, store_address="127.0.0.1:9"):
         self._fd = os.open(os.devnull, os.O_WRONLY)
@@ -66,7 +66,7 @@
         self._greenlets = [gevent.spawn(self.datagrams.run)]
 
     def follow(self):
-        """Begins to follow the store."""
+        """Starts to follow the store."""
         self._greenlets += [
             gevent.spawn(self.follower.run, table) for table in feed.Table
         ]
@@ -79,27 +79,27 @@
         return self.inst.catalog.version if self.inst.catalog else 0
 
 
-def _know_each_other(everyone):
-    for one in everyone:
-        for other in everyone:
-            # From now on, whatever the test lasts.
+def _introduce(instances):
+    for one in instances:
+        for other in instances:
+            # In the future, so that members do not expire during the test.
             later_s = boottime.now() + 60.0
             one.membership.heard(other.member, later_s)
 
 
-def _wait(until):
-    end_s = boottime.now() + 20
-    while not until() and boottime.now() < end_s:
+def _wait(condition):
+    deadline_s = boottime.now() + 20
+    while not condition() and boottime.now() < deadline_s:
         gevent.sleep(0.01)
-    assert until()
+    assert condition()
 
 
 @pytest.fixture
 def pair():
-    made = [_Instance(name) for name in ("1", "2")]
-    _know_each_other(made)
-    yield made
-    for one in made:
+    created = [_Instance(name) for name in ("1", "2")]
+    _introduce(created)
+    yield created
+    for one in created:
         one.stop()
 
 
@@ -147,23 +147,23 @@
         ),
     ],
 )
-def test_an_update_arrives_as_it_was(pair, update):
-    taken = []
-    pair[1].updates.subscribe(taken.append)
+def test_an_update_arrives_unchanged(pair, update):
+    received = []
+    pair[1].updates.subscribe(received.append)
     pair[0].updates.broadcast(update)
-    _wait(lambda: taken)
-    assert taken == [update]
+    _wait(lambda: received)
+    assert received == [update]
 
 
-def test_an_update_that_is_too_long_says_that_there_is_more(pair):
-    taken = []
-    pair[1].updates.subscribe(taken.append)
+def test_an_update_too_long_for_a_datagram_makes_readers_fetch(pair):
+    received = []
+    pair[1].updates.subscribe(received.append)
     update = shared_watch.ServersUpdate(
         store_s=1.0, since=_at(80), position=_at(90), changes=_changes(60)
     )
     pair[0].updates.broadcast(update)
-    _wait(lambda: taken)
-    verdict = shared_watch.judge_servers(taken[0], _at(85))
+    _wait(lambda: received)
+    verdict = shared_watch.judge_servers(received[0], _at(85))
     assert verdict is shared_watch.Verdict.FETCH
 
 
@@ -178,105 +178,105 @@
         ["a", 1, 1.0, 0, 9, 1, [["s", "x", "y", "z", 1, "tired"]]],
     ],
 )
-def test_garbage_is_told_once_and_left(pair, content):
-    taken = []
-    pair[1].updates.subscribe(taken.append)
+def test_invalid_updates_are_logged_once_and_dropped(pair, content):
+    received = []
+    pair[1].updates.subscribe(received.append)
     for _ in range(2):
         pair[1].datagrams.dispatch(_KIND + cbor2.dumps(content))
-    assert (taken, pair[1].problems) == ([], ["news_unreadable"])
+    assert (received, pair[1].problems) == ([], ["news_unreadable"])
 
 
-def test_updates_of_another_data_centre_are_left(pair):
-    taken = []
-    pair[1].updates.subscribe(taken.append)
+def test_updates_of_another_data_centre_are_ignored(pair):
+    received = []
+    pair[1].updates.subscribe(received.append)
     pair[1].datagrams.dispatch(_KIND + cbor2.dumps(["b", 0, 1.0, 0, 1, 1]))
-    assert (taken, pair[1].problems) == ([], [])
+    assert (received, pair[1].problems) == ([], [])
 
 
 @pytest.fixture
 def one_server():
-    made = server.Server(server_id="s1", service="crew", streaming=False)
-    made.start()
-    yield made
-    made.close()
+    created = server.Server(server_id="s1", service="crew", streaming=False)
+    created.start()
+    yield created
+    created.close()
 
 
 @pytest.fixture
 def fleet(one_server):
-    """Nine instances of a data centre before one store."""
-    served = store.Store().start()
-    served.put("op", "config", world_module.config(1))
-    served.put("servers", "s1", one_server.entry())
-    everyone = [_Instance(str(n), served.address) for n in range(9)]
-    _know_each_other(everyone)
-    for one in everyone:
+    """Nine instances of a data centre that share one store."""
+    the_store = store.Store().start()
+    the_store.put("op", "config", world_module.config(1))
+    the_store.put("servers", "s1", one_server.entry())
+    instances = [_Instance(str(n), the_store.address) for n in range(9)]
+    _introduce(instances)
+    for one in instances:
         one.follow()
-    _wait(lambda: all(one.inst.knows for one in everyone))
-    yield served, everyone
-    for one in everyone:
+    _wait(lambda: all(one.inst.knows for one in instances))
+    yield the_store, instances
+    for one in instances:
         one.stop()
-    served.close()
+    the_store.close()
 
 
-def _watcher(everyone):
+def _watcher(instances):
     (found,) = [
         one
-        for one in everyone
+        for one in instances
         if one.updates.role() is shared_watch.Role.WATCHER
     ]
     return found
 
 
-def _takes_work(one):
+def _is_ready(one):
     listed = one.inst.directory.get("s1")
     return listed is not None and listed.state is directory.ServerState.READY
 
 
-def test_what_the_store_accepts_is_known_by_all(fleet, one_server):
-    served, everyone = fleet
-    served.put("op", "config", world_module.config(2))
-    served.put("servers", "s1", one_server.entry("draining"))
-    _wait(lambda: all(one.version == 2 for one in everyone))
-    _wait(lambda: not any(map(_takes_work, everyone)))
+def test_changes_in_the_store_reach_all_instances(fleet, one_server):
+    the_store, instances = fleet
+    the_store.put("op", "config", world_module.config(2))
+    the_store.put("servers", "s1", one_server.entry("draining"))
+    _wait(lambda: all(one.version == 2 for one in instances))
+    _wait(lambda: not any(map(_is_ready, instances)))
 
 
-def test_readers_are_told_that_nothing_has_changed(fleet):
-    _, everyone = fleet
-    watcher = _watcher(everyone)
-    readers = [one for one in everyone if one is not watcher]
-    _wait(lambda: all(_told(one) >= 2 for one in readers))
-    assert _told(watcher) == 0
+def test_readers_receive_updates_without_changes(fleet):
+    _, instances = fleet
+    watcher = _watcher(instances)
+    readers = [one for one in instances if one is not watcher]
+    _wait(lambda: all(_current_updates(one) >= 2 for one in readers))
+    assert _current_updates(watcher) == 0
 
 
-def _told(one):
+def _current_updates(one):
     registry = one.inst.metrics.registry
     name = "irisshelf_store_updates_total"
     return registry.get_sample_value(name, {"verdict": "current"}) or 0
 
 
-def test_without_their_watcher_readers_ask_by_themselves(fleet, one_server):
-    served, everyone = fleet
-    watcher = _watcher(everyone)
+def test_readers_without_a_watcher_poll_the_store(fleet, one_server):
+    the_store, instances = fleet
+    watcher = _watcher(instances)
     watcher.stop()
-    others = [one for one in everyone if one is not watcher]
-    served.put("op", "config", world_module.config(2))
-    served.put("servers", "s1", one_server.entry("draining"))
+    others = [one for one in instances if one is not watcher]
+    the_store.put("op", "config", world_module.config(2))
+    the_store.put("servers", "s1", one_server.entry("draining"))
     _wait(lambda: all(one.version == 2 for one in others))
-    _wait(lambda: not any(map(_takes_work, others)))
+    _wait(lambda: not any(map(_is_ready, others)))
     _wait(lambda: all(one.inst.keys_hold() for one in others))
 
 
-def test_readers_that_the_store_turns_away_go_on_by_updates(fleet):
-    """Ages are those of the watcher's answers; nothing says they are newer."""
-    served, everyone = fleet
-    watcher = _watcher(everyone)
-    served.mode = store.Mode.BUSY
+def test_updates_suffice_for_readers_that_the_store_rejects(fleet):
+    """The age of the keys is that of the watcher's response, never less."""
+    the_store, instances = fleet
+    watcher = _watcher(instances)
+    the_store.mode = store.Mode.BUSY
     watcher.stop()
-    others = [one for one in everyone if one is not watcher]
+    others = [one for one in instances if one is not watcher]
     _wait(lambda: not any(one.inst.keys_hold() for one in others))
     now_s = boottime.now()
     for one in others:
-        # The stand-in's clock is the machine's.
+        # The simulated store uses the machine's clock.
         one.follower.apply_update(
             shared_watch.CatalogUpdate(
                 store_s=now_s, version=1, position=_at(10**6, era=0)
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -1,9 +1,10 @@
-"""Whole tables of the store, handed on among the instances of a data centre.
+"""Snapshots of the store's tables, relayed among a data centre's instances.
 
-The pattern: a long configuration changes, or all instances start at once. When
-each reads what it lacks from the store, the store's link and the instances' own
-are full for seconds. One reads it, and the others take it from each other; any
-of them may be dead, stand still, lag, or have something else.
+Guards against overloaded links when a long configuration changes or all
+instances start at once: if each read the table from the store, the store's link
+and their own would be saturated for seconds. One instance reads it, and the
+others fetch it from each other; any of them may be dead, hang, lag behind, or
+have different data.
 """
 
 import os
@@ -45,14 +46,14 @@
 
 
 class _Instance:
-    """An instance that follows the store and hands on, without callers."""
+    """An instance that follows the store and relays; it accepts no requests."""
 
     def __init__(self, name, store_address):
         self._fd = os.open(os.devnull, os.O_WRONLY)
         self.lines = []
         self.log = decision_log.DecisionLog(instance=name, fd=self._fd)
-        self.log.problem = self._note
-        self.log.instance = self._note
+        self.log.problem = self._record_line
+        self.log.instance = self._record_line
         self.datagrams = datagrams_module.Datagrams(
             address="127.0.0.1:0", log=self.log
         )
@@ -92,10 +93,10 @@
         )
         self._greenlets = [gevent.spawn(self.datagrams.run)]
 
-    def _note(self, name, **fields):
+    def _record_line(self, name, **fields):
         self.lines.append((name, fields))
 
-    def told(self, name):
+    def logged(self, name):
         return [fields for line, fields in self.lines if line == name]
 
     def follow(self):
@@ -112,8 +113,8 @@
         return self.inst.catalog.version if self.inst.catalog else 0
 
 
-def _started(name, store_address):
-    """Makes an instance whose port is free for datagrams and connections."""
+def _make_instance(name, store_address):
+    """Creates an instance whose port is free for both UDP and TCP."""
     for _ in range(20):
         try:
             return _Instance(name, store_address)
@@ -134,19 +135,19 @@
     )
 
 
-def _know_each_other(everyone):
-    for one in everyone:
-        for other in everyone:
-            # From now on, whatever the test lasts.
+def _introduce(instances):
+    for one in instances:
+        for other in instances:
+            # In the future, so that members do not expire during the test.
             later_s = boottime.now() + 60.0
             one.peers.membership.heard(other.member, later_s)
 
 
-def _wait(until):
-    end_s = boottime.now() + 20
-    while not until() and boottime.now() < end_s:
+def _wait(condition):
+    deadline_s = boottime.now() + 20
+    while not condition() and boottime.now() < deadline_s:
         gevent.sleep(0.01)
-    assert until()
+    assert condition()
 
 
 def _config(version, routes=200):
@@ -159,97 +160,99 @@
 
 @pytest.fixture
 def one_server():
-    made = server.Server(server_id="s1", service="crew", streaming=False)
-    made.start()
-    yield made
-    made.close()
+    created = server.Server(server_id="s1", service="crew", streaming=False)
+    created.start()
+    yield created
+    created.close()
 
 
 @pytest.fixture
 def served(one_server):
-    made = store.Store().start()
-    made.put("op", "config", _config(1))
-    made.put("servers", "s1", one_server.entry())
-    yield made
-    made.close()
+    created = store.Store().start()
+    created.put("op", "config", _config(1))
+    created.put("servers", "s1", one_server.entry())
+    yield created
+    created.close()
 
 
 @pytest.fixture
 def make_fleet(served):
-    made = []
+    created = []
 
     def make(count=9):
-        made.extend(_started(str(n), served.address) for n in range(count))
-        _know_each_other(made)
-        return made
+        created.extend(
+            _make_instance(str(n), served.address) for n in range(count)
+        )
+        _introduce(created)
+        return created
 
     yield make
-    for one in made:
+    for one in created:
         one.stop()
 
 
-def _watcher(everyone):
+def _watcher(instances):
     (found,) = [
         one
-        for one in everyone
+        for one in instances
         if one.updates.role() is shared_watch.Role.WATCHER
     ]
     return found
 
 
-def _start(everyone):
-    for one in everyone:
+def _start(instances):
+    for one in instances:
         one.follow()
-    _wait(lambda: all(one.inst.knows for one in everyone))
+    _wait(lambda: all(one.inst.knows for one in instances))
 
 
-def test_all_that_start_at_once_read_from_one(make_fleet, served):
-    everyone = make_fleet()
-    _start(everyone)
+def test_instances_that_start_at_once_read_the_store_once(make_fleet, served):
+    instances = make_fleet()
+    _start(instances)
     assert sorted(served.pages) == ["op", "servers"]
-    assert all(one.inst.keys_hold() for one in everyone)
+    assert all(one.inst.keys_hold() for one in instances)
     assert all(
-        one.told("tables_relayed") for one in everyone[1:] if _reads(one)
+        one.logged("tables_relayed") for one in instances[1:] if _is_reader(one)
     )
 
 
-def _reads(one):
+def _is_reader(one):
     return one.updates.role() is shared_watch.Role.READER
 
 
 def test_a_new_configuration_is_read_once(make_fleet, served):
-    everyone = make_fleet()
-    _start(everyone)
+    instances = make_fleet()
+    _start(instances)
     before = len(served.pages)
     calls = served.calls
     served.put("op", "config", _config(2))
-    _wait(lambda: all(one.version == 2 for one in everyone))
-    # By the call that the watcher had held, which tells it.
+    _wait(lambda: all(one.version == 2 for one in instances))
+    # The watcher's pending long poll returned it; nothing else was read.
     assert len(served.pages) == before
-    assert served.calls - calls < len(everyone)
-    assert all(one.inst.keys_hold() for one in everyone)
+    assert served.calls - calls < len(instances)
+    assert all(one.inst.keys_hold() for one in instances)
 
 
 def test_many_changes_at_once_are_read_once(make_fleet, served, one_server):
-    """A data centre's servers return: no update can hold them all."""
-    everyone = make_fleet()
-    _start(everyone)
+    """All servers of a data centre return: too many for one update."""
+    instances = make_fleet()
+    _start(instances)
     calls = served.calls
     names = [f"back-{number}" for number in range(200)]
     for name in names:
         served.put("servers", name, one_server.entry())
-    _wait(lambda: all(one.inst.directory.get(names[-1]) for one in everyone))
-    assert all(len(one.inst.directory.servers()) == 201 for one in everyone)
-    assert served.calls - calls < len(everyone)
+    _wait(lambda: all(one.inst.directory.get(names[-1]) for one in instances))
+    assert all(len(one.inst.directory.servers()) == 201 for one in instances)
+    assert served.calls - calls < len(instances)
 
 
 @pytest.mark.parametrize("lost", ["dead", "silent", "behind", "garbled"])
-def test_who_is_not_relayed_to_reads_from_the_store(
+def test_without_a_relayed_snapshot_the_store_is_read(
     make_fleet, served, lost, monkeypatch
 ):
-    everyone = make_fleet()
-    _start(everyone)
-    watcher = _watcher(everyone)
+    instances = make_fleet()
+    _start(instances)
+    watcher = _watcher(instances)
     if lost == "dead":
         watcher.listener.stop_accepting()
         monkeypatch.setattr(watcher.peers, "handle", _drop)
@@ -264,28 +267,28 @@
     served.put("op", "config", _config(2))
     bound_s = watcher.inst.cfg.bounds.catalog_in_force_ms / 1000
     gevent.sleep(bound_s)
-    assert [one.version for one in everyone] == [2] * len(everyone)
+    assert [one.version for one in instances] == [2] * len(instances)
 
 
 def _drop(request, conn):
     conn.abort()
 
 
-def test_another_configuration_than_the_one_meant_is_not_taken(
+def test_a_configuration_with_a_different_digest_is_rejected(
     make_fleet, served
 ):
-    """Its version is right and its digest is not."""
-    everyone = make_fleet()
-    _start(everyone)
-    watcher = _watcher(everyone)
-    held = watcher.follower.tables.operators.stored_catalog
+    """Its version is the expected one."""
+    instances = make_fleet()
+    _start(instances)
+    watcher = _watcher(instances)
+    stored = watcher.follower.tables.operators.stored_catalog
     other = store.encode(_config(2, routes=3))
-    wanted = table_snapshot.MinimumVersion(
+    minimum = table_snapshot.MinimumVersion(
         position=position.Position(era=0, revision=0),
         version=2,
-        digest=held.digest,
+        digest=stored.digest,
     )
-    reader = next(one for one in everyone if one is not watcher)
+    reader = next(one for one in instances if one is not watcher)
     message = table_snapshot.Message(
         era=0,
         revision=99,
@@ -293,22 +296,22 @@
         clock_s=1.0,
         catalog=table_snapshot.compress(other),
     )
-    for one in everyone:
+    for one in instances:
         if one is not reader:
             one.peers.register_handler(
                 "/catalog", lambda fields: table_snapshot.encode(message)
             )
-    handing = reader.follower._relay
-    handed = handing.fetch(_CATALOG, wanted, timeout_s=0.5)
-    assert handed is None
-    assert reader.told("relayed_table_unreadable")
+    relay = reader.follower._relay
+    snapshot = relay.fetch(_CATALOG, minimum, timeout_s=0.5)
+    assert snapshot is None
+    assert reader.logged("relayed_table_unreadable")
 
 
-def test_what_is_relayed_is_not_younger_than_it_was(make_fleet, served):
-    everyone = make_fleet()
-    _start(everyone)
-    watcher = _watcher(everyone)
-    reader = next(one for one in everyone if one is not watcher)
+def test_relaying_does_not_understate_the_age(make_fleet, served):
+    instances = make_fleet()
+    _start(instances)
+    watcher = _watcher(instances)
+    reader = next(one for one in instances if one is not watcher)
     served.mode = store.Mode.SILENT
     watcher.stop()
     gevent.sleep(1.5)
@@ -319,9 +322,9 @@
 
 
 def test_lapsed_servers_are_not_relayed(make_fleet, served):
-    everyone = make_fleet()
-    _start(everyone)
-    one = everyone[0]
+    instances = make_fleet()
+    _start(instances)
+    one = instances[0]
     gone = directory.Change(entry_id="s1", server=None)
     one.inst.directory.lapse([gone], back_s=boottime.now())
     assert one.inst.directory.get("s1") is not None
@@ -329,29 +332,31 @@
     assert table_snapshot.decode(data).servers == []
 
 
-def test_coldness_is_relayed_as_what_is_left(make_fleet, served, one_server):
+def test_cold_starts_are_relayed_with_their_remaining_time(
+    make_fleet, served, one_server
+):
     one_server.cold_ms = 60_000
     served.put("servers", "s1", one_server.entry())
-    everyone = make_fleet()
-    _start(everyone)
+    instances = make_fleet()
+    _start(instances)
     gevent.sleep(0.5)
-    data = everyone[0].follower._relay._encode_table(_SERVERS)
-    (row,) = table_snapshot.decode(data).servers
-    assert 50.0 < row.cold_s <= 59.5
+    data = instances[0].follower._relay._encode_table(_SERVERS)
+    (record,) = table_snapshot.decode(data).servers
+    assert 50.0 < record.cold_s <= 59.5
 
 
 @pytest.mark.parametrize(
     "query",
     ["era=x", "revision=-1", "version=2.5", "hold_ms=soon", "era=" + "9" * 40],
 )
-def test_a_question_that_cannot_be_read_gets_no_answer(make_fleet, query):
+def test_an_invalid_request_is_not_answered(make_fleet, query):
     one = make_fleet(1)[0]
     fields = dict([query.split("=")])
     assert one.follower._relay._request_handler(_CATALOG)(fields) is None
-    assert one.told("question_unreadable")
+    assert one.logged("question_unreadable")
 
 
-_GOOD = cbor2.dumps([0, 5, 1.0, 1.0, b"", [], []])
+_VALID = cbor2.dumps([0, 5, 1.0, 1.0, b"", [], []])
 
 
 @pytest.mark.parametrize(
@@ -359,27 +364,27 @@
     [
         b"",
         b"\xff\xff",
-        _GOOD,
+        _VALID,
         zlib.compress(b"\xff"),
-        zlib.compress(_GOOD)[:-4],
+        zlib.compress(_VALID)[:-4],
         zlib.compress(cbor2.dumps({"a": 1})),
         zlib.compress(cbor2.dumps([-1, 5, 1.0, 1.0])),
         zlib.compress(cbor2.dumps([0, 5, float("nan"), 1.0])),
         zlib.compress(cbor2.dumps([0, 5, 1.0, 1.0, b"", [], [["s", 1]]])),
     ],
 )
-def test_bytes_that_are_no_table_are_an_error(data):
+def test_an_invalid_snapshot_is_an_error(data):
     with pytest.raises(ValueError):
         table_snapshot.decode(data)
 
 
-def test_a_table_without_end_is_an_error(monkeypatch):
+def test_an_oversized_snapshot_is_an_error(monkeypatch):
     monkeypatch.setattr(table_snapshot, "_MAX_DECOMPRESSED_BYTES", 1000)
     with pytest.raises(ValueError, match="longer than 1000"):
         table_snapshot.decompress(zlib.compress(b"x" * 1001))
 
 
-# The tree, and clocks that are heard of.
+# The relay tree, and the propagation of the store's clock.
 
 
 def _ranked(count, links=()):
@@ -393,69 +398,69 @@
         )
         for n in range(count)
     ]
-    made = {}
+    created = {}
     for own in members:
-        made[own.name] = roster_module.Roster(own=own)
+        created[own.name] = roster_module.Roster(own=own)
         for other in members:
-            made[own.name].heard(other, 0.0)
-    return made
+            created[own.name].heard(other, 0.0)
+    return created
 
 
 @pytest.mark.parametrize("count", [1, 2, 9, 24, 73, 100])
-def test_each_is_relayed_to_by_one_and_relays_to_few(count):
-    rosters = _ranked(count)
+def test_each_instance_has_one_parent_and_few_children(count):
+    memberships = _ranked(count)
     parents = [
-        roster.ancestors(1.0, 4)[0].name
-        for roster in rosters.values()
-        if roster.ancestors(1.0, 4)
+        membership.ancestors(1.0, 4)[0].name
+        for membership in memberships.values()
+        if membership.ancestors(1.0, 4)
     ]
     assert len(parents) == count - 1
-    assert all(parents.count(name) <= 4 for name in rosters)
-    depth = max(len(r.ancestors(1.0, 4)) for r in rosters.values())
+    assert all(parents.count(name) <= 4 for name in memberships)
+    depth = max(len(r.ancestors(1.0, 4)) for r in memberships.values())
     assert depth <= 4
 
 
-def test_wide_links_relay_first():
-    rosters = _ranked(24, links=[10.0, 100.0, 10.0, 120.0])
-    first = {r.first(1.0).name for r in rosters.values() if r.first(1.0)}
+def test_instances_with_wide_links_relay_first():
+    memberships = _ranked(24, links=[10.0, 100.0, 10.0, 120.0])
+    first = {r.first(1.0).name for r in memberships.values() if r.first(1.0)}
     assert first <= {"n1", "n3"}
     assert len(first) == 1
     wide = {"n1", "n3"}
-    handing = [r.ancestors(1.0, 4) for r in rosters.values()]
-    seconds = {line[-2].name for line in handing if len(line) > 1}
-    assert wide - first <= seconds
+    paths = [r.ancestors(1.0, 4) for r in memberships.values()]
+    second_level = {path[-2].name for path in paths if len(path) > 1}
+    assert wide - first <= second_level
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_clock_that_is_heard_of_makes_nothing_younger(seed):
-    """Instances with clocks of their own pass the store's clock on."""
+def test_a_relayed_clock_does_not_understate_ages(seed):
+    """Instances, each with its own clock, relay the store's clock."""
     rng = random.Random(seed)
-    skews_s = [rng.uniform(-100, 100) for _ in range(4)]
-    store_skew_s = rng.uniform(0, 5000)
-    known = [freshness.Freshness() for _ in skews_s]
-    true_s = 10.0
-    ways_s = [rng.uniform(0.0, 0.5) for _ in range(8)]
-    known[0].told(
-        sent_s=true_s + skews_s[0],
-        received_s=true_s + ways_s[0] + ways_s[1] + skews_s[0],
-        store_s=true_s + ways_s[0] + store_skew_s,
+    clock_offsets_s = [rng.uniform(-100, 100) for _ in range(4)]
+    store_offset_s = rng.uniform(0, 5000)
+    clocks = [freshness.Freshness() for _ in clock_offsets_s]
+    now_s = 10.0
+    delays_s = [rng.uniform(0.0, 0.5) for _ in range(8)]
+    clocks[0].told(
+        sent_s=now_s + clock_offsets_s[0],
+        received_s=now_s + delays_s[0] + delays_s[1] + clock_offsets_s[0],
+        store_s=now_s + delays_s[0] + store_offset_s,
     )
-    moment_s = true_s + ways_s[0]
-    true_s += 1.0
-    for place in range(1, 4):
-        sent_s = true_s
-        true_s += ways_s[2 * place - 1]
-        clock_s = known[place - 1].clock_s(true_s + skews_s[place - 1])
-        assert clock_s >= true_s + store_skew_s - 1e-9
-        true_s += ways_s[2 * place]
-        known[place].heard_clock(
-            sent_s=sent_s + skews_s[place], clock_s=clock_s, era=0
+    response_s = now_s + delays_s[0]
+    now_s += 1.0
+    for index in range(1, 4):
+        sent_s = now_s
+        now_s += delays_s[2 * index - 1]
+        clock_s = clocks[index - 1].clock_s(now_s + clock_offsets_s[index - 1])
+        assert clock_s >= now_s + store_offset_s - 1e-9
+        now_s += delays_s[2 * index]
+        clocks[index].heard_clock(
+            sent_s=sent_s + clock_offsets_s[index], clock_s=clock_s, era=0
         )
-        found_s = known[place].time_of(
-            moment_s + store_skew_s, true_s + skews_s[place]
+        estimate_s = clocks[index].time_of(
+            response_s + store_offset_s, now_s + clock_offsets_s[index]
         )
-        assert found_s <= moment_s + skews_s[place] + 1e-9
+        assert estimate_s <= response_s + clock_offsets_s[index] + 1e-9
 
 
-def test_the_fan_out_is_what_a_narrow_link_bears():
+def test_the_fan_out_suits_a_narrow_link():
     assert table_relay._FAN_OUT <= 4
