--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -51,7 +51,7 @@
     server: _Server | None
     age_ms: _AgeMs
     # Whether the receiver forwards the message within its data centre.
-    relay: bool
+    forward: bool
 
 
 class CrashGossip:
@@ -89,8 +89,8 @@
         message = msgspec.convert(content, _Message)
         if message.age_ms > _MAX_AGE_MS:
             return
-        if message.relay:
-            message.relay = False
+        if message.forward:
+            message.forward = False
             self._send_locally(_encode(message))
         # Probes the server that is said to have crashed, which would block the
         # receive loop.
@@ -163,9 +163,9 @@
         self, fingerprint: bytes, server: bytes | None, at_s: float
     ) -> None:
         age_ms = int((boottime.now() - at_s) * 1000)
-        message = _Message(fingerprint, server, age_ms, relay=False)
+        message = _Message(fingerprint, server, age_ms, forward=False)
         self._send_locally(_encode(message))
-        message.relay = True
+        message.forward = True
         data = _encode(message)
         sent: dict[str, int] = {}
         for member in self._membership.elsewhere(boottime.now()):
--- a/irisshelf/gateway/knowledge/fact_gossip.py
+++ b/irisshelf/gateway/knowledge/fact_gossip.py
@@ -31,7 +31,7 @@
 # Responses take about a second; batched facts are a fraction of that old.
 _TICK_S = 0.25
 _MAX_LOADS = 40
-_MAX_COLDS = 20
+_MAX_COLD_STARTS = 20
 _MAX_PAUSES = 20
 # Upper bounds of encoded sizes: the header, a load (a cold start and a pause
 # take no more), a prompt part, and a server's key before its first part.
@@ -71,9 +71,9 @@
     # Server's key, work (see ``facts.ServerLoad``), age in ms.
     loads: list[tuple[bytes, _Work, int]] = []
     # Server's key, and the keys of the prompt parts in its cache.
-    holds: dict[bytes, list[bytes]] = {}
+    cached_parts: dict[bytes, list[bytes]] = {}
     # Server's key, and the remaining time of its cold start in ms.
-    colds: list[tuple[bytes, _Ms]] = []
+    cold_starts: list[tuple[bytes, _Ms]] = []
     # Server's key, and for how long it accepts no requests in ms.
     pauses: list[tuple[bytes, _Ms]] = []
 
@@ -83,14 +83,16 @@
 
     def __init__(self):
         self.loads: dict[bytes, facts.ServerLoad] = {}
-        self.holds: collections.deque[facts.PartHeld] = collections.deque(
-            maxlen=_MAX_QUEUED_PARTS
+        self.cached_parts: collections.deque[facts.PartHeld] = (
+            collections.deque(maxlen=_MAX_QUEUED_PARTS)
         )
-        self.colds: dict[bytes, facts.ServerCold] = {}
+        self.cold_starts: dict[bytes, facts.ServerCold] = {}
         self.pauses: dict[bytes, facts.ServerPause] = {}
 
     def __bool__(self) -> bool:
-        return bool(self.loads or self.holds or self.colds or self.pauses)
+        return bool(
+            self.loads or self.cached_parts or self.cold_starts or self.pauses
+        )
 
     @functools.singledispatchmethod
     def add(self, fact: facts.Fact) -> None:
@@ -105,11 +107,11 @@
 
     @add.register
     def _(self, fact: facts.PartHeld) -> None:
-        self.holds.append(fact)
+        self.cached_parts.append(fact)
 
     @add.register
     def _(self, fact: facts.ServerCold) -> None:
-        self.colds[fact.server] = fact
+        self.cold_starts[fact.server] = fact
 
     @add.register
     def _(self, fact: facts.ServerPause) -> None:
@@ -119,27 +121,29 @@
         """Returns all queued facts."""
         return [
             *self.loads.values(),
-            *self.holds,
-            *self.colds.values(),
+            *self.cached_parts,
+            *self.cold_starts.values(),
             *self.pauses.values(),
         ]
 
-    def take(self, data_centre: str, hop: _Hop) -> _Message:
+    def pop_message(self, data_centre: str, hop: _Hop) -> _Message:
         """Dequeues as many facts as fit into one datagram."""
         now = boottime.now()
         loads = _dequeue(self.loads, _MAX_LOADS)
-        colds = _dequeue(self.colds, _MAX_COLDS)
+        cold_starts = _dequeue(self.cold_starts, _MAX_COLD_STARTS)
         pauses = _dequeue(self.pauses, _MAX_PAUSES)
-        count = len(loads) + len(colds) + len(pauses)
+        count = len(loads) + len(cold_starts) + len(pauses)
         remaining_bytes = datagrams_module.MAX_DATAGRAM_BYTES - _HEADER_BYTES
         remaining_bytes -= _LOAD_BYTES * count
-        holds: dict[bytes, list[bytes]] = {}
-        while self.holds and remaining_bytes >= _PART_BYTES + _SERVER_BYTES:
-            held = self.holds.popleft()
+        cached_parts: dict[bytes, list[bytes]] = {}
+        while (
+            self.cached_parts and remaining_bytes >= _PART_BYTES + _SERVER_BYTES
+        ):
+            cached = self.cached_parts.popleft()
             remaining_bytes -= _PART_BYTES
-            if held.server not in holds:
+            if cached.server not in cached_parts:
                 remaining_bytes -= _SERVER_BYTES
-            holds.setdefault(held.server, []).append(held.part)
+            cached_parts.setdefault(cached.server, []).append(cached.part)
         return _Message(
             data_centre=data_centre,
             hop=hop,
@@ -147,8 +151,10 @@
                 (n.server, n.work, max(0, int((now - n.at_s) * 1000)))
                 for n in loads
             ],
-            holds=holds,
-            colds=[(c.server, _remaining_ms(c.until_s, now)) for c in colds],
+            cached_parts=cached_parts,
+            cold_starts=[
+                (c.server, _remaining_ms(c.until_s, now)) for c in cold_starts
+            ],
             pauses=[(p.server, _remaining_ms(p.until_s, now)) for p in pauses],
         )
 
@@ -239,7 +245,7 @@
     ) -> None:
         if not outbox:
             return
-        message = outbox.take(self._membership.own.data_centre, hop)
+        message = outbox.pop_message(self._membership.own.data_centre, hop)
         data = _encode(message)
         for member in members:
             self._datagrams.send(member.address, data)
@@ -277,10 +283,10 @@
         if 0 <= age_ms <= _MAX_AGE_MS:
             at_s = now - age_ms / 1000
             decoded.add(facts.ServerLoad(server=server, work=work, at_s=at_s))
-    for server, parts in message.holds.items():
+    for server, parts in message.cached_parts.items():
         for part in parts:
             decoded.add(facts.PartHeld(server=server, part=part))
-    for server, remaining_ms in message.colds:
+    for server, remaining_ms in message.cold_starts:
         until_s = now + remaining_ms / 1000
         decoded.add(facts.ServerCold(server=server, until_s=until_s))
     for server, remaining_ms in message.pauses:
