--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -1,10 +1,10 @@
-"""Tells other instances under which request contents servers crashed.
+"""Shares server crashes, by request fingerprint, among instances.
 
 A caller may repeat a request at any instance of any data centre. So each crash
 is sent at once to all instances of the own data centre and to a few of each
 other data centre, which forward it within theirs. It is sent once more a moment
-later, because datagrams get lost. An instance that has just started asks a peer
-for all known crashes.
+later, because datagrams get lost. An instance that has just started fetches all
+known crashes from a peer.
 
 A message takes 60 bytes and is sent twice to each instance; nothing is sent as
 long as no server crashes under a request.
