--- a/bench/claims.py
+++ b/bench/claims.py
@@ -32,7 +32,7 @@
         began = time.perf_counter()
         granted = writer.claim(f"claims/{number}")
         taken.append(time.perf_counter() - began)
-        recorded = claim.Recorded(status=200, content_type="x", body="y")
+        recorded = claim.RecordedOutcome(status=200, content_type="x", body="y")
         writer.record(granted, recorded)
 
     calls = []
--- a/bench/gossip.py
+++ b/bench/gossip.py
@@ -17,9 +17,9 @@
 import tracemalloc
 from collections.abc import Callable
 
-from irisshelf.coordination import budget
 from irisshelf.coordination import gossip
 from irisshelf.coordination import gossip_messages as messages
+from irisshelf.coordination import token_bucket
 
 PROCESSES = 4
 SIZES = (6, 12, 25, 50, 100, 200, 400)
@@ -74,7 +74,7 @@
                 data_centre=place,
                 incarnation=1,
                 rng=random.Random(self._rng.random()),
-                budget=budget.Budget(),
+                budget=token_bucket.TokenBucket(),
             )
             for name, place in self.place.items()
         }
@@ -101,7 +101,7 @@
 
     def tell(self, name: str, head: int) -> None:
         """Sets what an instance says of itself."""
-        self.nodes[name].set_own(
+        self.nodes[name].set_local_state(
             now=self.now,
             loads=self._loads,
             leaving=False,
@@ -275,7 +275,7 @@
     A baseline: the same short message to each other instance every tick.
     """
     node = next(iter(Fleet(size=3, seed=1, services=2).nodes.values()))
-    message = node._short_message(wants_answer=False)
+    message = node._probe_message(wants_reply=False)
     return (size - 1) * messages.size_of(message) / gossip.TICK_S
 
 
--- a/irisshelf/cli/bundle.py
+++ b/irisshelf/cli/bundle.py
@@ -258,13 +258,13 @@
 
 
 def _report(step: head.Step, wanted: head.Head, as_json: bool) -> None:
-    if isinstance(step, head.Won):
+    if isinstance(step, head.Committed):
         output.show(
             f"bundle {wanted.number} submitted",
             {"submitted": wanted.number},
             as_json=as_json,
         )
-    elif isinstance(step, head.Lost):
+    elif isinstance(step, head.Superseded):
         output.fail(
             f"bundle {wanted.number} lost against {step.winner.number}"
             f" ({step.winner.object_key})",
--- a/irisshelf/coordination/claim.py
+++ b/irisshelf/coordination/claim.py
@@ -30,7 +30,7 @@
 from irisshelf.store import messages
 
 TTL_S = 86_400.0
-PREFIX = "claims/"
+ROW_PREFIX = "claims/"
 MAX_BATCH = 100
 MAX_ATTEMPTS = 4
 
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Recorded:
+class RecordedOutcome:
     """Outcome of a call that ran, as kept in its row."""
 
     status: int
@@ -83,7 +83,7 @@
     """Another claim came first; what is recorded of it, if anything."""
 
     claim: Claim
-    recorded: Recorded | None
+    recorded: RecordedOutcome | None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -114,10 +114,10 @@
 def row_key(*, team: str, service: str, key: str) -> str:
     """Returns the table's key for a caller's idempotency key."""
     text = "\0".join((team, service, key))
-    return PREFIX + hashlib.sha256(text.encode()).hexdigest()[:40]
+    return ROW_PREFIX + hashlib.sha256(text.encode()).hexdigest()[:40]
 
 
-def insert(claim: Claim) -> messages.Write:
+def insert_write(claim: Claim) -> messages.Write:
     """Returns the conditional write that makes a claim."""
     return messages.Write(
         key=claim.row,
@@ -127,7 +127,9 @@
     )
 
 
-def record(granted: Granted, recorded: Recorded) -> messages.Write:
+def outcome_write(
+    granted: Granted, recorded: RecordedOutcome
+) -> messages.Write:
     """Returns the write that keeps a call's outcome for repeats."""
     return messages.Write(
         key=granted.claim.row,
@@ -141,7 +143,7 @@
     )
 
 
-def release(granted: Granted) -> messages.Write:
+def release_write(granted: Granted) -> messages.Write:
     """Returns the write that gives a claim up whose call did not run.
 
     Only the holder may release, and must not send the call afterwards, even
@@ -227,12 +229,12 @@
     return Duplicate(claim=claim, recorded=_recorded(value))
 
 
-def _recorded(value: dict[str, Any]) -> Recorded | None:
+def _recorded(value: dict[str, Any]) -> RecordedOutcome | None:
     outcome = value.get("outcome")
     if value.get("state") != State.DONE or not isinstance(outcome, dict):
         return None
     try:
-        return Recorded(**outcome)
+        return RecordedOutcome(**outcome)
     except TypeError:
         return None
 
--- a/irisshelf/coordination/clock.py
+++ b/irisshelf/coordination/clock.py
@@ -8,11 +8,11 @@
 import dataclasses
 from collections.abc import Callable
 
-MAX_AHEAD_S = 60.0
+MAX_CLOCK_AHEAD_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, order=True)
-class Stamp:
+class Timestamp:
     """A moment: wall-clock seconds, then a counter, then the process."""
 
     wall_s: float
@@ -39,23 +39,23 @@
         self._last_s = 0.0
         self._count = 0
 
-    def now(self) -> Stamp:
+    def now(self) -> Timestamp:
         """Returns a stamp later than every stamp made or received before."""
         return self._advance(self._last_s, self._count)
 
-    def receive(self, stamp: Stamp) -> Stamp:
+    def receive(self, stamp: Timestamp) -> Timestamp:
         """Moves past a received stamp.
 
         A stamp more than ``MAX_AHEAD_S`` ahead of the wall clock is ignored:
         one process with a wrong clock must not drag all others along.
         """
-        if stamp.wall_s > self._wall() + MAX_AHEAD_S:
+        if stamp.wall_s > self._wall() + MAX_CLOCK_AHEAD_S:
             return self.now()
         if (stamp.wall_s, stamp.count) > (self._last_s, self._count):
             return self._advance(stamp.wall_s, stamp.count)
         return self.now()
 
-    def _advance(self, last_s: float, count: int) -> Stamp:
+    def _advance(self, last_s: float, count: int) -> Timestamp:
         wall_s = self._wall()
         if wall_s > last_s:
             self._last_s = wall_s
@@ -63,6 +63,6 @@
         else:
             self._last_s = last_s
             self._count = count + 1
-        return Stamp(
+        return Timestamp(
             wall_s=self._last_s, count=self._count, process=self._process
         )
--- a/irisshelf/coordination/facts.py
+++ b/irisshelf/coordination/facts.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class PartHeld:
+class PartCached:
     """A server has read a part of a prompt, or is about to.
 
     Attributes:
@@ -67,4 +67,4 @@
     until_s: float
 
 
-Fact = ServerLoad | PartHeld | ServerCold | ServerPause
+Fact = ServerLoad | PartCached | ServerCold | ServerPause
--- a/irisshelf/coordination/fleet_size.py
+++ b/irisshelf/coordination/fleet_size.py
@@ -25,13 +25,13 @@
         # Counts that none later exceeds, largest first, with their times.
         self._counts: collections.deque[tuple[float, int]] = collections.deque()
 
-    def heard(self, count: int, now: float) -> None:
+    def record(self, count: int, now: float) -> None:
         """Takes how many instances are known of now, this one included."""
         while self._counts and self._counts[-1][1] <= count:
             self._counts.pop()
         self._counts.append((now, count))
 
-    def count(self, now: float) -> int | None:
+    def estimate(self, now: float) -> int | None:
         """Returns how many there are; None if that is not known."""
         while self._counts and now - self._counts[0][0] > _REMEMBER_S:
             self._counts.popleft()
--- a/irisshelf/coordination/gossip.py
+++ b/irisshelf/coordination/gossip.py
@@ -24,23 +24,23 @@
 import random
 from collections.abc import Sequence
 
-from irisshelf.coordination import beats
-from irisshelf.coordination import budget as budgets
 from irisshelf.coordination import gossip_messages as messages
+from irisshelf.coordination import heartbeats
+from irisshelf.coordination import token_bucket
 from irisshelf.routing.owned import context
 
 TICK_S = 0.5
 FANOUT = 2
-FAR_EVERY = 2  # Ticks between messages to other data centres.
-ASK_AFTER_S = 1.0
-MAX_QUESTIONS = 4
-SUSPECT_S = 2.0
-DEAD_S = 2.9
-FORGET_S = 60.0
+REMOTE_INTERVAL_TICKS = 2  # Ticks between messages to other data centres.
+PROBE_AFTER_S = 1.0
+MAX_PROBES = 4
+SUSPECT_AFTER_S = 2.0
+DEAD_AFTER_S = 2.9
+EVICT_AFTER_S = 60.0
 MAX_RECORDS = 2
-REPRESENTATIVES = 2
-SUMMARY_OLD_S = 10.0
-HEAD_NEWS_S = 10.0
+REPRESENTATIVE_COUNT = 2
+SUMMARY_MAX_AGE_S = 10.0
+HEAD_ANNOUNCE_S = 10.0
 _NO_HEAD = messages.HeadHint(number=0, object_key="")
 
 
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outgoing:
+class OutgoingMessage:
     """A message to send to a peer."""
 
     to: str
@@ -62,13 +62,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Held:
-    record: messages.Record
+    record: messages.InstanceRecord
     heard_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _HeldSummary:
-    summary: messages.Summary
+    summary: messages.LoadSummary
     made_s: float
 
 
@@ -80,7 +80,7 @@
         data_centre: Where it stands.
         incarnation: Grows with each start, such as the wall clock in
             milliseconds.
-        first_beat: Where beats start; from the wall clock, so that a new
+        first_heartbeat: Where beats start; from the wall clock, so that a new
             life's beats are ahead of an old one's that are still passed on.
         rng: Chooses partners.
         budget: Bytes that may be sent.
@@ -93,24 +93,24 @@
         data_centre: str,
         incarnation: int,
         rng: random.Random,
-        budget: budgets.Budget,
-        first_beat: int = 0,
+        budget: token_bucket.TokenBucket,
+        first_heartbeat: int = 0,
     ):
         self.name = name
         self.data_centre = data_centre
-        self.conflicts = 0
+        self.name_conflicts = 0
         self._rng = rng
         self._budget = budget
         self._peers: dict[str, Peer] = {}
         self._held: dict[str, _Held] = {}
-        self._beats = beats.Beats(me=name)
+        self._heartbeats = heartbeats.HeartbeatTable(me=name)
         self._summaries: dict[str, _HeldSummary] = {}
         self._head = _NO_HEAD
         self._head_heard_s = float("-inf")
-        self._own = messages.Record(
+        self._own = messages.InstanceRecord(
             name=name,
             incarnation=incarnation,
-            beat=first_beat,
+            heartbeat=first_heartbeat,
             leaving=False,
             loads=(),
         )
@@ -124,7 +124,7 @@
         """Takes the platform's list of instances, without this one."""
         self._peers = {peer.name: peer for peer in peers}
 
-    def set_own(
+    def set_local_state(
         self,
         *,
         loads: Sequence[messages.Load],
@@ -138,18 +138,20 @@
         )
         self._take_head(head, now)
 
-    def tick(self, now: float) -> list[Outgoing]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         """Makes the own record newer and sends what the budget allows."""
-        self._own = dataclasses.replace(self._own, beat=self._own.beat + 1)
+        self._own = dataclasses.replace(
+            self._own, heartbeat=self._own.heartbeat + 1
+        )
         self._forget(now)
         outgoing = []
         for place, partner in enumerate(self._partners(now)):
-            if not self._budget.has_room(now):
+            if not self._budget.has_tokens(now):
                 break
             # A near partner tells of itself anyway; a far one is asked.
             near = self._peers[partner].data_centre == self.data_centre
-            message = self._message(now, near=near, wants_answer=not near)
-            if near and (place or self._own.beat % 2):
+            message = self._message(now, near=near, wants_reply=not near)
+            if near and (place or self._own.heartbeat % 2):
                 # What others said goes to one partner every second tick.
                 message = dataclasses.replace(
                     message,
@@ -157,14 +159,14 @@
                     summaries=(),
                     head=self._head if self._head_is_new(now) else _NO_HEAD,
                 )
-            self._budget.spend(messages.size_of(message))
-            outgoing.append(Outgoing(to=partner, message=message))
+            self._budget.consume(messages.size_of(message))
+            outgoing.append(OutgoingMessage(to=partner, message=message))
         for silent in self._silent(now):
-            if not self._budget.has_room(now):
+            if not self._budget.has_tokens(now):
                 break
-            question = self._short_message(wants_answer=True)
-            self._budget.spend(messages.size_of(question))
-            outgoing.append(Outgoing(to=silent, message=question))
+            question = self._probe_message(wants_reply=True)
+            self._budget.consume(messages.size_of(question))
+            outgoing.append(OutgoingMessage(to=silent, message=question))
         return outgoing
 
     def receive(
@@ -176,44 +178,44 @@
         self._take_head(message.head, now)
         for record in message.records:
             self._take_record(record, now, direct=record.name == message.sender)
-        for beat in message.beats:
-            self._beats.take(beat, now)
+        for heartbeat in message.heartbeats:
+            self._heartbeats.record_relayed(heartbeat, now)
         for summary in message.summaries:
             self._take_summary(summary, now)
-        if not message.wants_answer or not self._budget.has_room(now):
+        if not message.wants_reply or not self._budget.has_tokens(now):
             return None
         if message.data_centre == self.data_centre:
-            answer = self._short_message(wants_answer=False)
+            answer = self._probe_message(wants_reply=False)
         else:
-            answer = self._message(now, near=False, wants_answer=False)
-        self._budget.spend(messages.size_of(answer))
+            answer = self._message(now, near=False, wants_reply=False)
+        self._budget.consume(messages.size_of(answer))
         return answer
 
     def status(self, name: str, now: float) -> messages.Status:
         """Returns what this instance thinks of another one."""
         if name == self.name:
             return messages.Status.ALIVE
-        silent_s = self._beats.silent_s(name, now)
+        silent_s = self._heartbeats.age_s(name, now)
         if silent_s is None:
             return messages.Status.UNKNOWN
-        if silent_s > DEAD_S:
+        if silent_s > DEAD_AFTER_S:
             return messages.Status.DEAD
         held = self._held.get(name)
         if held is not None and held.record.leaving:
             return messages.Status.LEAVING
-        if silent_s > SUSPECT_S:
+        if silent_s > SUSPECT_AFTER_S:
             return messages.Status.SUSPECT
         return messages.Status.ALIVE
 
-    def near(self, now: float) -> list[str]:
+    def live_local_instances(self, now: float) -> list[str]:
         """Returns live instances of this data centre, with this one."""
         found = [self.name] if not self._own.leaving else []
         for name in self._near_names():
-            if self.status(name, now) in messages.LIVE:
+            if self.status(name, now) in messages.LIVE_STATUSES:
                 found.append(name)
         return sorted(found)
 
-    def others(self, service: str, now: float) -> messages.Load:
+    def load_of_others(self, service: str, now: float) -> messages.Load:
         """Sums what all other instances say of a service's engines.
 
         Other data centres count by their sums; one not heard of for
@@ -227,7 +229,7 @@
             for load in held.record.loads
         ]
         for held in self._summaries.values():
-            if now - held.made_s <= SUMMARY_OLD_S:
+            if now - held.made_s <= SUMMARY_MAX_AGE_S:
                 loads += held.summary.loads
         return _sum(service, [x for x in loads if x.service == service])
 
@@ -252,19 +254,20 @@
         if far is not None:
             chosen.append(far)
         dead = [name for name in near if name not in live]
-        if dead and self._rng.random() < TICK_S / DEAD_S:
+        if dead and self._rng.random() < TICK_S / DEAD_AFTER_S:
             # It may live behind a cut that has healed.
             chosen.append(self._rng.choice(dead))
         return chosen
 
     def _far_partner(self, now: float) -> str | None:
         """Another data centre's instance, if this one represents its own."""
-        if self._own.beat % FAR_EVERY:
+        if self._own.heartbeat % REMOTE_INTERVAL_TICKS:
             return None
         ranked = sorted(
-            self.near(now), key=lambda name: context.hash64(name.encode())
+            self.live_local_instances(now),
+            key=lambda name: context.hash64(name.encode()),
         )
-        if self.name not in ranked[:REPRESENTATIVES]:
+        if self.name not in ranked[:REPRESENTATIVE_COUNT]:
             return None
         far = [
             name
@@ -274,7 +277,7 @@
         return self._rng.choice(sorted(far)) if far else None
 
     def _message(
-        self, now: float, *, near: bool, wants_answer: bool
+        self, now: float, *, near: bool, wants_reply: bool
     ) -> messages.Message:
         fresh = sorted(
             self._held.values(), key=lambda held: held.heard_s, reverse=True
@@ -283,7 +286,7 @@
         records += [
             held.record
             for held in fresh[: MAX_RECORDS - 1]
-            if now - held.heard_s <= DEAD_S
+            if now - held.heard_s <= DEAD_AFTER_S
         ]
         if not near:
             records = []
@@ -291,20 +294,22 @@
             version=messages.VERSION,
             sender=self.name,
             data_centre=self.data_centre,
-            wants_answer=wants_answer,
+            wants_reply=wants_reply,
             head=self._head,
             records=tuple(records),
             summaries=self._told_summaries(now, near=near),
-            beats=self._beats.fresh(now, DEAD_S) if near else (),
+            heartbeats=self._heartbeats.freshest(now, DEAD_AFTER_S)
+            if near
+            else (),
         )
 
-    def _short_message(self, *, wants_answer: bool) -> messages.Message:
+    def _probe_message(self, *, wants_reply: bool) -> messages.Message:
         """Asks a silent instance whether it lives, or answers that."""
         return messages.Message(
             version=messages.VERSION,
             sender=self.name,
             data_centre=self.data_centre,
-            wants_answer=wants_answer,
+            wants_reply=wants_reply,
             head=_NO_HEAD,
             records=(dataclasses.replace(self._own, loads=()),),
             summaries=(),
@@ -314,24 +319,24 @@
         """Near instances without fresh beats, the most silent first."""
         found = []
         for name in self._near_names():
-            silent_s = self._beats.silent_s(name, now)
+            silent_s = self._heartbeats.age_s(name, now)
             if silent_s is None or name not in self._peers:
                 continue
-            if ASK_AFTER_S < silent_s <= DEAD_S:
+            if PROBE_AFTER_S < silent_s <= DEAD_AFTER_S:
                 found.append((silent_s, name))
         found.sort(reverse=True)
-        return [name for _, name in found[:MAX_QUESTIONS]]
+        return [name for _, name in found[:MAX_PROBES]]
 
     def _told_summaries(
         self, now: float, *, near: bool
-    ) -> tuple[messages.Summary, ...]:
+    ) -> tuple[messages.LoadSummary, ...]:
         """Tells far instances our sum, near ones of one other data centre."""
         if not near:
             return (self._own_summary(now),)
         known = sorted(
             place
             for place, held in self._summaries.items()
-            if now - held.made_s <= SUMMARY_OLD_S
+            if now - held.made_s <= SUMMARY_MAX_AGE_S
         )
         if not known:
             return ()
@@ -339,7 +344,7 @@
         age_s = now - held.made_s
         return (dataclasses.replace(held.summary, age_s=age_s),)
 
-    def _own_summary(self, now: float) -> messages.Summary:
+    def _own_summary(self, now: float) -> messages.LoadSummary:
         by_service: dict[str, list[messages.Load]] = collections.defaultdict(
             list
         )
@@ -352,7 +357,7 @@
         for record in records:
             for load in record.loads:
                 by_service[load.service].append(load)
-        return messages.Summary(
+        return messages.LoadSummary(
             data_centre=self.data_centre,
             age_s=0.0,
             loads=tuple(
@@ -367,10 +372,10 @@
 
     def _head_is_new(self, now: float) -> bool:
         """Tells whether the head goes into every message for a while."""
-        return now - self._head_heard_s <= HEAD_NEWS_S
+        return now - self._head_heard_s <= HEAD_ANNOUNCE_S
 
     def _take_record(
-        self, record: messages.Record, now: float, *, direct: bool
+        self, record: messages.InstanceRecord, now: float, *, direct: bool
     ) -> None:
         if record.name == self.name:
             self._defend(record)
@@ -388,23 +393,25 @@
                 and record.incarnation > held.record.incarnation
             )
             if restarted:
-                self._beats.forget(record.name)
+                self._heartbeats.forget(record.name)
             if direct:
-                self._beats.heard_from(record.name, record.beat, now)
+                self._heartbeats.record_direct(
+                    record.name, record.heartbeat, now
+                )
 
-    def _defend(self, record: messages.Record) -> None:
+    def _defend(self, record: messages.InstanceRecord) -> None:
         """Outbids a record of our name that we did not make.
 
         Either our clock stands behind that of our former life, or another
         instance has the same name; the count tells operators.
         """
         if _newer(record, self._own):
-            self.conflicts += 1
+            self.name_conflicts += 1
             self._own = dataclasses.replace(
                 self._own, incarnation=record.incarnation + 1
             )
 
-    def _take_summary(self, summary: messages.Summary, now: float) -> None:
+    def _take_summary(self, summary: messages.LoadSummary, now: float) -> None:
         if summary.data_centre == self.data_centre:
             return
         made_s = now - summary.age_s
@@ -415,23 +422,30 @@
             )
 
     def _forget(self, now: float) -> None:
-        old = [n for n, h in self._held.items() if now - h.heard_s > FORGET_S]
+        old = [
+            n for n, h in self._held.items() if now - h.heard_s > EVICT_AFTER_S
+        ]
         for name in old:
             del self._held[name]
-        self._beats.forget_old(now, FORGET_S)
+        self._heartbeats.expire(now, EVICT_AFTER_S)
 
 
-def _newer(record: messages.Record, than: messages.Record) -> bool:
-    return (record.incarnation, record.beat) > (than.incarnation, than.beat)
+def _newer(
+    record: messages.InstanceRecord, than: messages.InstanceRecord
+) -> bool:
+    return (record.incarnation, record.heartbeat) > (
+        than.incarnation,
+        than.heartbeat,
+    )
 
 
 def _sum(service: str, loads: Sequence[messages.Load]) -> messages.Load:
     full: list[int] = []
     for load in loads:
-        full += load.full
+        full += load.full_engines
     return messages.Load(
         service=service,
         work=sum(load.work for load in loads),
         engines=sum(load.engines for load in loads),
-        full=tuple(full[: messages.MAX_FULL]),
+        full_engines=tuple(full[: messages.MAX_FULL_ENGINES]),
     )
--- a/irisshelf/coordination/gossip_messages.py
+++ b/irisshelf/coordination/gossip_messages.py
@@ -17,11 +17,11 @@
 
 VERSION = 1
 MAX_BYTES = 16_384
-MAX_FULL = 64
+MAX_FULL_ENGINES = 64
 MAX_LOADS = 16
-MAX_NAME = 64
+MAX_NAME_CHARS = 64
 # What decoding bytes from a peer may raise, of the library and of our checks.
-MALFORMED = (
+DECODE_ERRORS = (
     cbor2.CBORError,
     ValueError,
     TypeError,
@@ -31,12 +31,12 @@
     RecursionError,
     AttributeError,
 )
-MAX_BEATS = 64
-BEAT_MODULUS = 1 << 16
+MAX_HEARTBEATS = 64
+HEARTBEAT_MODULUS = 1 << 16
 _HASH_BYTES = 3
-_BEAT_BYTES = 2
+_COUNTER_BYTES = 2
 _AGE_BYTES = 1
-AGE_STEP_S = 0.05
+AGE_RESOLUTION_S = 0.05
 _MAX_AGE = 255
 
 
@@ -50,7 +50,7 @@
     DEAD = "dead"
 
 
-LIVE = frozenset({Status.ALIVE, Status.SUSPECT})
+LIVE_STATUSES = frozenset({Status.ALIVE, Status.SUSPECT})
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -67,22 +67,22 @@
     service: str
     work: float
     engines: int
-    full: tuple[int, ...] = ()
+    full_engines: tuple[int, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Record:
+class InstanceRecord:
     """What an instance says of itself."""
 
     name: str
     incarnation: int
-    beat: int
+    heartbeat: int
     leaving: bool
     loads: tuple[Load, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Summary:
+class LoadSummary:
     """Sum over a data centre's instances.
 
     Attributes:
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Beat:
+class Heartbeat:
     """How fresh the sender's knowledge of an instance is.
 
     Attributes:
@@ -109,7 +109,7 @@
     """
 
     name_hash: int
-    beat: int
+    counter: int
     age_s: float
 
 
@@ -128,11 +128,11 @@
     version: int
     sender: str
     data_centre: str
-    wants_answer: bool
+    wants_reply: bool
     head: HeadHint
-    records: tuple[Record, ...]
-    summaries: tuple[Summary, ...]
-    beats: tuple[Beat, ...] = ()
+    records: tuple[InstanceRecord, ...]
+    summaries: tuple[LoadSummary, ...]
+    heartbeats: tuple[Heartbeat, ...] = ()
 
 
 def name_hash(name: str) -> int:
@@ -148,17 +148,21 @@
             message.version,
             message.sender,
             message.data_centre,
-            message.wants_answer,
+            message.wants_reply,
             [message.head.number, message.head.object_key],
             [
-                [r.name, r.incarnation, r.beat, r.leaving, _loads(r.loads)]
+                [r.name, r.incarnation, r.heartbeat, r.leaving, _loads(r.loads)]
                 for r in message.records
             ],
             [
-                [s.data_centre, round(s.age_s / AGE_STEP_S), _loads(s.loads)]
+                [
+                    s.data_centre,
+                    round(s.age_s / AGE_RESOLUTION_S),
+                    _loads(s.loads),
+                ]
                 for s in message.summaries
             ],
-            _pack(message.beats),
+            _pack_heartbeats(message.heartbeats),
         ]
     )
 
@@ -179,7 +183,7 @@
     try:
         items = cbor2.loads(data)
         return _message(items)
-    except MALFORMED as exc:
+    except DECODE_ERRORS as exc:
         return result.Err(f"{type(exc).__name__}: {exc}")
 
 
@@ -194,66 +198,70 @@
             version=VERSION,
             sender=_name(items[1]),
             data_centre=_name(items[2]),
-            wants_answer=bool(items[3]),
+            wants_reply=bool(items[3]),
             head=HeadHint(number=_count(number), object_key=str(object_key)),
             records=tuple(_record(item) for item in items[5]),
             summaries=tuple(_summary(item) for item in items[6]),
-            beats=_beats(items[7]),
+            heartbeats=_unpack_heartbeats(items[7]),
         )
     )
 
 
-def _pack(beats: tuple[Beat, ...]) -> bytes:
+def _pack_heartbeats(heartbeats: tuple[Heartbeat, ...]) -> bytes:
     return b"".join(
-        beat.name_hash.to_bytes(_HASH_BYTES, "big")
-        + (beat.beat % BEAT_MODULUS).to_bytes(_BEAT_BYTES, "big")
-        + min(_MAX_AGE, round(beat.age_s / AGE_STEP_S)).to_bytes(
+        heartbeat.name_hash.to_bytes(_HASH_BYTES, "big")
+        + (heartbeat.counter % HEARTBEAT_MODULUS).to_bytes(
+            _COUNTER_BYTES, "big"
+        )
+        + min(_MAX_AGE, round(heartbeat.age_s / AGE_RESOLUTION_S)).to_bytes(
             _AGE_BYTES, "big"
         )
-        for beat in beats
+        for heartbeat in heartbeats
     )
 
 
-def _beats(packed: Any) -> tuple[Beat, ...]:
-    size = _HASH_BYTES + _BEAT_BYTES + _AGE_BYTES
+def _unpack_heartbeats(packed: Any) -> tuple[Heartbeat, ...]:
+    size = _HASH_BYTES + _COUNTER_BYTES + _AGE_BYTES
     if not isinstance(packed, bytes) or len(packed) % size:
         raise ValueError("beats are not packed")
-    if len(packed) > MAX_BEATS * size:
-        raise ValueError(f"{len(packed) // size} beats, allowed: {MAX_BEATS}")
+    if len(packed) > MAX_HEARTBEATS * size:
+        raise ValueError(
+            f"{len(packed) // size} beats, allowed: {MAX_HEARTBEATS}"
+        )
     parts = [packed[i : i + size] for i in range(0, len(packed), size)]
     return tuple(
-        Beat(
+        Heartbeat(
             name_hash=int.from_bytes(part[:_HASH_BYTES], "big"),
-            beat=int.from_bytes(part[_HASH_BYTES:-_AGE_BYTES], "big"),
-            age_s=part[-1] * AGE_STEP_S,
+            counter=int.from_bytes(part[_HASH_BYTES:-_AGE_BYTES], "big"),
+            age_s=part[-1] * AGE_RESOLUTION_S,
         )
         for part in parts
     )
 
 
-def _record(item: Any) -> Record:
-    name, incarnation, beat, leaving, loads = item
-    return Record(
+def _record(item: Any) -> InstanceRecord:
+    name, incarnation, heartbeat, leaving, loads = item
+    return InstanceRecord(
         name=_name(name),
         incarnation=_count(incarnation),
-        beat=_count(beat),
+        heartbeat=_count(heartbeat),
         leaving=bool(leaving),
         loads=_load_list(loads),
     )
 
 
-def _summary(item: Any) -> Summary:
+def _summary(item: Any) -> LoadSummary:
     data_centre, age, loads = item
-    return Summary(
+    return LoadSummary(
         data_centre=_name(data_centre),
-        age_s=_count(age) * AGE_STEP_S,
+        age_s=_count(age) * AGE_RESOLUTION_S,
         loads=_load_list(loads),
     )
 
 
 def _loads(loads: tuple[Load, ...]) -> list[list[Any]]:
     return [
-        [load.service, round(load.work), load.engines, list(load.full)]
+        [load.service, round(load.work), load.engines, list(load.full_engines)]
         for load in loads
     ]
 
@@ -266,14 +274,14 @@
             service=_name(service),
             work=float(_count(work)),
             engines=_count(engines),
-            full=tuple(_count(n) for n in full[:MAX_FULL]),
+            full_engines=tuple(_count(n) for n in full[:MAX_FULL_ENGINES]),
         )
         for service, work, engines, full in items
     )
 
 
 def _name(value: Any) -> str:
-    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME:
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_CHARS:
         raise ValueError(f"name is {value!r:.80}")
     return value
 
--- a/irisshelf/coordination/head.py
+++ b/irisshelf/coordination/head.py
@@ -43,14 +43,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Won:
+class Committed:
     """The submission took effect."""
 
     head: Head
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Lost:
+class Superseded:
     """Another bundle is ahead; ``winner`` names it."""
 
     winner: Head
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class NoEffect:
+class NotApplied:
     """The platform refused; nothing changed."""
 
     detail: str
@@ -76,7 +76,7 @@
     """
 
 
-Step = Won | Lost | ReadBack | NoEffect | Resubmit
+Step = Committed | Superseded | ReadBack | NotApplied | Resubmit
 
 
 def decode(value: Any) -> Head | None:
@@ -135,12 +135,12 @@
 ) -> Step:
     """Decides what follows from the answer to a submission."""
     if isinstance(answer, result.Ok):
-        return Won(head=head)
+        return Committed(head=head)
     problem = answer.err_value
     if isinstance(problem, errors.Conflict):
         return _compare(head, problem.failed[0].value)
     if problem.effect is errors.Effect.NONE:
-        return NoEffect(detail=problem.detail)
+        return NotApplied(detail=problem.detail)
     return ReadBack()
 
 
@@ -173,10 +173,10 @@
 def _compare(head: Head, value: Any) -> Step:
     found = decode(value)
     if found is None:
-        return NoEffect(detail=f"the head row is malformed: {value!r}")
+        return NotApplied(detail=f"the head row is malformed: {value!r}")
     if found.submission_id == head.submission_id:
-        return Won(head=head)
-    return Lost(winner=found)
+        return Committed(head=head)
+    return Superseded(winner=found)
 
 
 class Follower:
@@ -201,11 +201,11 @@
         return self._in_force
 
     @property
-    def wanted(self) -> Head | None:
+    def pending(self) -> Head | None:
         """The head to fetch next; None if there is nothing newer."""
         return self._wanted
 
-    def see(self, head: Head) -> bool:
+    def observe(self, head: Head) -> bool:
         """Takes a head from any source; tells whether it should be fetched."""
         if head.number <= self._in_force or head.object_key in self._rejected:
             return False
--- a/irisshelf/coordination/lease.py
+++ b/irisshelf/coordination/lease.py
@@ -30,11 +30,11 @@
 from irisshelf.store import messages
 
 ROW_PREFIX = "leases/orders/"
-LENGTH_S = 10.0
-RENEW_AT = 0.4  # Part of the lease after which it is renewed.
-CLOCK_RATE_DIFFERENCE = 0.01
-LONGEST_PAUSE_S = 5.0
-ORDER_TIME_S = 2.0
+DURATION_S = 10.0
+RENEW_FRACTION = 0.4  # Part of the lease after which it is renewed.
+MAX_CLOCK_DRIFT = 0.01
+MAX_PAUSE_S = 5.0
+MAX_ORDER_DELAY_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -49,15 +49,15 @@
         order_time_s: Longest time from the decision to the order's effect.
     """
 
-    length_s: float = LENGTH_S
-    renew_at: float = RENEW_AT
-    clock_rate_difference: float = CLOCK_RATE_DIFFERENCE
-    longest_pause_s: float = LONGEST_PAUSE_S
-    order_time_s: float = ORDER_TIME_S
+    duration_s: float = DURATION_S
+    renew_fraction: float = RENEW_FRACTION
+    max_clock_drift: float = MAX_CLOCK_DRIFT
+    max_pause_s: float = MAX_PAUSE_S
+    max_order_delay_s: float = MAX_ORDER_DELAY_S
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Seen:
+class ObservedRow:
     """The row as last read, and since when it has been so.
 
     Attributes:
@@ -69,12 +69,12 @@
 
     version: int
     holder: str
-    fence: int
+    fencing_token: int
     since_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Grant:
+class HeldLease:
     """A lease that this instance holds.
 
     Attributes:
@@ -85,9 +85,9 @@
     """
 
     version: int
-    fence: int
-    taken_s: float
-    until_s: float
+    fencing_token: int
+    acquired_s: float
+    expires_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -96,12 +96,12 @@
 
     name: str
     row: str
-    seen: Seen | None = None
-    held: Grant | None = None
-    pending_s: float | None = None
+    observed: ObservedRow | None = None
+    held: HeldLease | None = None
+    write_sent_s: float | None = None
 
 
-def start(*, name: str, data_centre: str) -> State:
+def initial_state(*, name: str, data_centre: str) -> State:
     """Returns the state of an instance that knows nothing yet."""
     return State(name=name, row=ROW_PREFIX + data_centre)
 
@@ -135,20 +135,20 @@
     return after
 
 
-def wants_write(state: State, *, terms: Terms, now: float) -> bool:
+def should_write(state: State, *, terms: Terms, now: float) -> bool:
     """Tells whether this instance should now take or renew the lease."""
-    if state.seen is None:
+    if state.observed is None:
         return False
-    if state.held is not None and now < state.held.until_s:
-        used_s = now - (state.held.until_s - terms.length_s)
-        return used_s >= terms.renew_at * terms.length_s
-    if state.seen.version == messages.ABSENT:
+    if state.held is not None and now < state.held.expires_s:
+        used_s = now - (state.held.expires_s - terms.duration_s)
+        return used_s >= terms.renew_fraction * terms.duration_s
+    if state.observed.version == messages.ABSENT:
         return True
-    wait_s = terms.length_s * (1 + terms.clock_rate_difference)
-    return now - state.seen.since_s > wait_s
+    wait_s = terms.duration_s * (1 + terms.max_clock_drift)
+    return now - state.observed.since_s > wait_s
 
 
-def write(state: State, *, now: float) -> tuple[State, messages.Write]:
+def build_write(state: State, *, now: float) -> tuple[State, messages.Write]:
     """Returns the conditional write that takes or renews the lease.
 
     Args:
@@ -158,19 +158,22 @@
     Raises:
         ValueError: The row has not been read yet.
     """
-    if state.seen is None:
+    if state.observed is None:
         raise ValueError("the lease's row has not been read yet")
-    renews = state.held is not None and now < state.held.until_s
+    renews = state.held is not None and now < state.held.expires_s
     if renews:
-        fence, version = state.held.fence, state.held.version
+        fence, version = state.held.fencing_token, state.held.version
     else:
-        fence, version = state.seen.fence + 1, state.seen.version
+        fence, version = (
+            state.observed.fencing_token + 1,
+            state.observed.version,
+        )
     made = messages.Write(
         key=state.row,
         value={"holder": state.name, "fence": fence},
         if_version=version,
     )
-    return dataclasses.replace(state, pending_s=now), made
+    return dataclasses.replace(state, write_sent_s=now), made
 
 
 def after_write(
@@ -188,8 +191,8 @@
     A lost answer leaves things as they were: the lease ends when it would
     have, and the next read shows what became of the write.
     """
-    sent_s = now if state.pending_s is None else state.pending_s
-    state = dataclasses.replace(state, pending_s=None)
+    sent_s = now if state.write_sent_s is None else state.write_sent_s
+    state = dataclasses.replace(state, write_sent_s=None)
     if isinstance(answer, result.Ok):
         return _hold(state, made, answer.ok_value[0], sent_s, terms, now)
     if isinstance(answer.err_value, errors.Conflict):
@@ -212,12 +215,12 @@
         now: Time on this instance's clock.
     """
     held = state.held
-    if held is None or now >= held.until_s:
+    if held is None or now >= held.expires_s:
         return False
     if checks_fencing:
         return True
-    ready_s = held.taken_s + terms.longest_pause_s + terms.order_time_s
-    return ready_s <= now < held.until_s - terms.order_time_s
+    ready_s = held.acquired_s + terms.max_pause_s + terms.max_order_delay_s
+    return ready_s <= now < held.expires_s - terms.max_order_delay_s
 
 
 def _hold(
@@ -229,23 +232,25 @@
     now: float,
 ) -> State:
     renews = state.held is not None and made.if_version == state.held.version
-    held = Grant(
+    held = HeldLease(
         version=version,
-        fence=made.value["fence"],
-        taken_s=state.held.taken_s if renews else now,
-        until_s=sent_s + terms.length_s,
+        fencing_token=made.value["fence"],
+        acquired_s=state.held.acquired_s if renews else now,
+        expires_s=sent_s + terms.duration_s,
     )
-    after = _see(state, version, state.name, held.fence, now)
+    after = _see(state, version, state.name, held.fencing_token, now)
     return dataclasses.replace(after, held=held)
 
 
 def _see(
     state: State, version: int, holder: str, fence: int, now: float
 ) -> State:
-    if state.seen is not None and state.seen.version == version:
+    if state.observed is not None and state.observed.version == version:
         return state
-    seen = Seen(version=version, holder=holder, fence=fence, since_s=now)
-    return dataclasses.replace(state, seen=seen)
+    seen = ObservedRow(
+        version=version, holder=holder, fencing_token=fence, since_s=now
+    )
+    return dataclasses.replace(state, observed=seen)
 
 
 def _settle_or_lose(state: State, row: messages.Row, now: float) -> State:
@@ -257,7 +262,7 @@
     """
     del now
     holder, fence = _decode(row.value)
-    if holder == state.name and fence == state.held.fence:
+    if holder == state.name and fence == state.held.fencing_token:
         held = dataclasses.replace(state.held, version=row.version)
         return dataclasses.replace(state, held=held)
     return dataclasses.replace(state, held=None)
--- a/irisshelf/coordination/roster.py
+++ b/irisshelf/coordination/membership.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterable
 
 # An instance not heard of for so long is left out; members ask every 2.5 s.
-FORGET_S = 6.0
+EXPIRY_S = 6.0
 # Instances of other data centres are asked for less often.
-FORGET_ELSEWHERE_S = 20.0
+REMOTE_EXPIRY_S = 20.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -35,7 +35,7 @@
     link_mbps: float = 0.0
 
 
-class Roster:
+class Membership:
     """The instances that this one knows of.
 
     Args:
@@ -46,7 +46,7 @@
         self.own = own
         self._heard: dict[str, tuple[Member, float]] = {}
 
-    def heard(self, member: Member, at_s: float) -> None:
+    def record_alive(self, member: Member, at_s: float) -> None:
         """Takes that an instance lives, or lived at a time."""
         if member.name == self.own.name:
             return
@@ -54,7 +54,7 @@
         if known is None or known[1] < at_s:
             self._heard[member.name] = (member, at_s)
 
-    def left(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Takes that an instance stops as planned."""
         self._heard.pop(name, None)
 
@@ -69,7 +69,7 @@
             if member.data_centre == data_centre
         ]
 
-    def elsewhere(self, now: float) -> list[Member]:
+    def remote_members(self, now: float) -> list[Member]:
         """Returns the instances of other data centres."""
         self._forget(now)
         return [
@@ -97,7 +97,7 @@
             rows.append((member, now - at_s))
         return rows
 
-    def first(self, now: float) -> Member | None:
+    def leader(self, now: float) -> Member | None:
         """Returns the first of the data centre; None if it is this instance."""
         others = [m for m, _ in self.members(self.own.data_centre, now)]
         found = rank([*others, self.own])[0]
@@ -120,8 +120,8 @@
 
     def _longest_s(self, member: Member) -> float:
         if member.data_centre == self.own.data_centre:
-            return FORGET_S
-        return FORGET_ELSEWHERE_S
+            return EXPIRY_S
+        return REMOTE_EXPIRY_S
 
     def _forget(self, now: float) -> None:
         self._heard = {
--- a/irisshelf/coordination/shared_watch.py
+++ b/irisshelf/coordination/shared_watch.py
@@ -24,7 +24,7 @@
 
 from irisshelf.catalog import directory
 from irisshelf.catalog import position as position_module
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.store import feed
 
 # A watcher's call is held for this part of the tightest bound, so that two
@@ -46,7 +46,7 @@
 class Role(enum.StrEnum):
     """Who asks the store for an instance."""
 
-    ALONE = "alone"
+    STANDALONE = "alone"
     WATCHER = "watcher"
     READER = "reader"
 
@@ -76,8 +76,8 @@
         silence_s: Age of the newest update from which a reader asks by itself.
     """
 
-    hold_s: float
-    silence_s: float
+    long_poll_s: float
+    fallback_after_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -133,12 +133,12 @@
         Timing(hold_s=1.0, silence_s=2.2)
     """
     return Timing(
-        hold_s=_HOLD_OF_BOUND * bound_s,
-        silence_s=_SILENCE_OF_BOUND * bound_s,
+        long_poll_s=_HOLD_OF_BOUND * bound_s,
+        fallback_after_s=_SILENCE_OF_BOUND * bound_s,
     )
 
 
-def role(roster: roster_module.Roster, now: float) -> Role:
+def role(roster: membership_module.Membership, now: float) -> Role:
     """Returns an instance's role, by the instances that it knows.
 
     Instances that know different ones for a while may all watch, or all read;
@@ -146,13 +146,13 @@
     """
     others = roster.members(roster.own.data_centre, now)
     if len(others) + 1 < _FEWEST:
-        return Role.ALONE
-    if roster.first(now) is None:
+        return Role.STANDALONE
+    if roster.leader(now) is None:
         return Role.WATCHER
     return Role.READER
 
 
-def judge_catalog(
+def classify_catalog_update(
     update: CatalogUpdate,
     known: position_module.Position | None,
     version: int | None,
@@ -174,7 +174,7 @@
     return Verdict.CURRENT
 
 
-def judge_servers(
+def classify_servers_update(
     update: ServersUpdate, known: position_module.Position | None
 ) -> Verdict:
     """Judges an update by the position known; None if there is none."""
@@ -205,12 +205,12 @@
         # Where the latest change was; the store's position moves on without.
         self._changed = self._position
 
-    def restart(self, position: position_module.Position) -> None:
+    def reset(self, position: position_module.Position) -> None:
         """Takes that the whole list was read: what came before is unknown."""
         self._entries.clear()
         self._position = self._changed = position
 
-    def add(
+    def append(
         self,
         changes: tuple[directory.Change, ...],
         position: position_module.Position,
@@ -223,7 +223,7 @@
             self._changed = position
         self._position = position
 
-    def update(self, store_s: float, now: float) -> ServersUpdate:
+    def build_update(self, store_s: float, now: float) -> ServersUpdate:
         """Returns what readers are told.
 
         Args:
--- a/irisshelf/coordination/table_watch.py
+++ b/irisshelf/coordination/table_watch.py
@@ -34,7 +34,7 @@
         self._caught_up_s = -math.inf
         self._behind = False
 
-    def rests_until_s(
+    def updates_suffice_until_s(
         self, role: shared_watch.Role, timing: shared_watch.Timing
     ) -> float:
         """Returns until when updates suffice; minus infinity if never."""
@@ -42,18 +42,18 @@
             return -math.inf
         if role is not shared_watch.Role.READER:
             return -math.inf
-        return self._told_s + timing.silence_s
+        return self._told_s + timing.fallback_after_s
 
-    def is_silent(self, timing: shared_watch.Timing, now: float) -> bool:
+    def updates_overdue(self, timing: shared_watch.Timing, now: float) -> bool:
         """Tells whether the watcher has said nothing for too long."""
-        return now - self._told_s > timing.silence_s
+        return now - self._told_s > timing.fallback_after_s
 
-    def hold_s(
+    def long_poll_s(
         self,
         role: shared_watch.Role,
         timing: shared_watch.Timing,
         *,
-        alone_s: float,
+        standalone_s: float,
         now: float,
     ) -> float:
         """Returns how long the store may hold the next call.
@@ -61,21 +61,21 @@
         Args:
             role: Of this instance.
             timing: When the store is asked where a watch is shared.
-            alone_s: How long it may hold it if no watch is shared.
+            standalone_s: How long it may hold it if no watch is shared.
             now: Monotonic seconds.
         """
-        if role is shared_watch.Role.ALONE:
-            return alone_s
+        if role is shared_watch.Role.STANDALONE:
+            return standalone_s
         if role is shared_watch.Role.WATCHER:
-            return min(alone_s, timing.hold_s)
-        quiet = now - self._answered_s > timing.silence_s
+            return min(standalone_s, timing.long_poll_s)
+        quiet = now - self._answered_s > timing.fallback_after_s
         if self._behind or quiet:
             return 0.0
         # No longer, as nothing else shows that a held call was lost while the
         # other table rests.
-        return min(alone_s, timing.silence_s)
+        return min(standalone_s, timing.fallback_after_s)
 
-    def reads_newest_alone(self, now: float) -> bool:
+    def should_read_snapshot(self, now: float) -> bool:
         """Tells whether to read the table and not the changes in it.
 
         For a table that is one document, of which only the newest version
@@ -93,15 +93,15 @@
             return True
         return now - self._caught_up_s > _SEVERAL_S
 
-    def caught_up(self, as_of_s: float) -> None:
+    def record_caught_up(self, as_of_s: float) -> None:
         """Takes that all was known at a time, monotonic seconds."""
         self._caught_up_s = max(self._caught_up_s, as_of_s)
 
-    def asked(self) -> None:
+    def record_request(self) -> None:
         """Takes that the store is asked for all there is now."""
         self._behind = False
 
-    def answered(
+    def record_response(
         self, position: position_module.Position, now: float, *, whole: bool
     ) -> bool:
         """Takes an answer of the store.
@@ -125,7 +125,7 @@
             self._era = position.era
         return newest
 
-    def relayed(
+    def record_relayed_table(
         self, position: position_module.Position, as_of_s: float
     ) -> bool:
         """Takes the whole table from another instance.
@@ -148,15 +148,15 @@
             self._behind = False
         return True
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Takes that a call was not answered."""
         self._behind = True
 
-    def forgotten(self) -> None:
+    def record_history_lost(self) -> None:
         """Takes that the store has no such history any more."""
         self.position = None
 
-    def updated(
+    def record_update(
         self,
         as_of_s: float,
         position: position_module.Position,
@@ -173,7 +173,7 @@
             return
         self._told_s = max(self._told_s, as_of_s)
         if verdict is not shared_watch.Verdict.FETCH:
-            self.caught_up(as_of_s)
+            self.record_caught_up(as_of_s)
             return
         self._behind = True
         self._told = max(self._told or position, position)
@@ -186,7 +186,7 @@
             # Something was left out of an answer: changes do not bring it.
             self.position = None
 
-    def follows_to(self, position: position_module.Position) -> None:
+    def advance_to(self, position: position_module.Position) -> None:
         """Takes that all is known up to a position, by an update."""
         if self.position is not None:
             self.position = max(self.position, position)
--- a/irisshelf/coordination/budget.py
+++ b/irisshelf/coordination/token_bucket.py
@@ -6,7 +6,7 @@
 _BURST_S = 2.0
 
 
-class Budget:
+class TokenBucket:
     """Bytes that may be sent, as a token bucket.
 
     Args:
@@ -18,7 +18,7 @@
         self._left = bytes_per_s * _BURST_S
         self._at_s: float | None = None
 
-    def has_room(self, now: float) -> bool:
+    def has_tokens(self, now: float) -> bool:
         """Tells whether anything may be sent now."""
         if self._at_s is not None:
             grown = self._left + (now - self._at_s) * self._rate
@@ -26,6 +26,6 @@
         self._at_s = now
         return self._left > 0
 
-    def spend(self, size: int) -> None:
+    def consume(self, size: int) -> None:
         """Counts bytes that were sent."""
         self._left -= size
--- a/irisshelf/daemon/admin.py
+++ b/irisshelf/daemon/admin.py
@@ -66,7 +66,7 @@
     def _status(self, start_response: http.StartResponse) -> list[bytes]:
         document = status(self._nd)
         document["peers"] = self._peers.statuses()
-        document["name_conflicts"] = self._peers.gossip.conflicts
+        document["name_conflicts"] = self._peers.gossip.name_conflicts
         return http.answer(start_response, 200, document)
 
     def _timeline(self, start_response: http.StartResponse) -> list[bytes]:
--- a/irisshelf/daemon/claims.py
+++ b/irisshelf/daemon/claims.py
@@ -59,13 +59,15 @@
         self._wake.set()
         return waiting.decided.get()
 
-    def record(self, granted: claim.Granted, recorded: claim.Recorded) -> None:
+    def record(
+        self, granted: claim.Granted, recorded: claim.RecordedOutcome
+    ) -> None:
         """Keeps a call's outcome for repeats of its key."""
-        self._records.append(claim.record(granted, recorded))
+        self._records.append(claim.outcome_write(granted, recorded))
 
     def release(self, granted: claim.Granted) -> None:
         """Gives up a claim whose call did not run, so a repeat may run."""
-        self._records.append(claim.release(granted))
+        self._records.append(claim.release_write(granted))
         self._wake_records.set()
 
     def run(self) -> None:
@@ -87,7 +89,9 @@
         pending = pending_claim.take(self._pending, limit=claim.MAX_BATCH)
         claims = [waiting.claim for waiting in pending]
         self.writes += 1
-        answer = self._platform.transact([claim.insert(c) for c in claims])
+        answer = self._platform.transact(
+            [claim.insert_write(c) for c in claims]
+        )
         steps = claim.after_insert(claims, answer)
         for waiting, step in zip(pending, steps, strict=True):
             self._carry_out(waiting, step)
--- a/irisshelf/daemon/follower.py
+++ b/irisshelf/daemon/follower.py
@@ -126,12 +126,12 @@
 
     def see(self, seen: head.Head) -> None:
         """Goes after a head, whoever told of it."""
-        if not self._follower.see(seen):
+        if not self._follower.observe(seen):
             return
         if self._chart.has_tag(self._state, "busy"):
             return
         self._move("see")
-        self._go_after(self._follower.wanted or seen)
+        self._go_after(self._follower.pending or seen)
 
     def _go_after(self, wanted: head.Head) -> None:
         fetched = self._fetch(wanted)
--- a/irisshelf/daemon/once.py
+++ b/irisshelf/daemon/once.py
@@ -37,7 +37,7 @@
             return
         self._nd.claims.record(
             self._granted,
-            claim.Recorded(
+            claim.RecordedOutcome(
                 status=status,
                 content_type=content_type,
                 body=body.decode("latin-1"),
--- a/irisshelf/daemon/peers.py
+++ b/irisshelf/daemon/peers.py
@@ -8,10 +8,10 @@
 import result
 from gevent import server
 
-from irisshelf.coordination import budget
 from irisshelf.coordination import gossip
 from irisshelf.coordination import gossip_messages
 from irisshelf.coordination import head
+from irisshelf.coordination import token_bucket
 from irisshelf.daemon import node
 from irisshelf.observe import log
 from irisshelf.observe import timeline
@@ -47,8 +47,8 @@
             data_centre=cfg.data_centre,
             incarnation=int(time.time() * 1000),
             rng=nd.rng,
-            budget=budget.Budget(),
-            first_beat=int(time.time() / gossip.TICK_S),
+            budget=token_bucket.TokenBucket(),
+            first_heartbeat=int(time.time() / gossip.TICK_S),
         )
         host, _, port = cfg.peers.link_listen.rpartition(":")
         secured = cfg.peers.tls
@@ -88,7 +88,7 @@
                 if n.state is _LIVE
             ]
         )
-        self.gossip.set_own(
+        self.gossip.set_local_state(
             loads=self._loads(),
             leaving=not self._nd.ready,
             head=self._head(),
@@ -127,13 +127,13 @@
         for name, router in self._nd.services.items():
             totals = router.totals()
             if totals.engines:
-                full = sorted(router.full())[: gossip_messages.MAX_FULL]
+                full = sorted(router.full())[: gossip_messages.MAX_FULL_ENGINES]
                 loads.append(
                     gossip_messages.Load(
                         service=name,
                         work=totals.work,
                         engines=totals.engines,
-                        full=tuple(full),
+                        full_engines=tuple(full),
                     )
                 )
         return loads
@@ -176,7 +176,7 @@
         """Live instances: near ones by their beats, far ones by the list."""
         cfg = self._nd.cfg
         found = []
-        for name in self.gossip.near(now):
+        for name in self.gossip.live_local_instances(now):
             held_until = self._unreachable.get(name, 0.0)
             if name == cfg.instance or (name in nodes and held_until < now):
                 found.append((name, cfg.data_centre))
@@ -192,10 +192,10 @@
 
     def _take_others(self, now: float) -> None:
         for name, router in self._nd.services.items():
-            others = self.gossip.others(name, now)
+            others = self.gossip.load_of_others(name, now)
             router.placer.set_others(
                 placement.Totals(work=others.work, engines=others.engines),
-                full=frozenset(others.full),
+                full=frozenset(others.full_engines),
             )
         hint = self.gossip.head
         if hint.number > self._nd.follower.in_force and hint.object_key:
--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -11,8 +11,8 @@
 import gevent
 import result
 
-from irisshelf.coordination import data_centre
-from irisshelf.coordination import roster
+from irisshelf.coordination import local_membership
+from irisshelf.coordination import membership
 from irisshelf.gateway import dialect
 from irisshelf.gateway import instance
 from irisshelf.gateway import listener
@@ -79,7 +79,7 @@
             rng=random.Random(),
         )
         self._neighbours = neighbours.Neighbours(
-            own=roster.Member(
+            own=membership.Member(
                 name=cfg.instance,
                 address=cfg.listen.peers,
                 data_centre=cfg.data_centre,
@@ -89,8 +89,8 @@
             log=self._log,
             on_members=self._take_members,
         )
-        self._members = data_centre.Members(
-            roster=self._neighbours.roster,
+        self._members = local_membership.LocalMembership(
+            membership=self._neighbours.roster,
             alone=not cfg.seeds,
             began_s=self._inst.now(),
         )
@@ -183,8 +183,8 @@
         if others_here:
             places = max(1, len(self._inst.cfg.data_centres))
             count = (others_here + 1) * places
-        self._inst.servers.fleet.heard(count, self._inst.now())
-        # What is known now counts for a minute, see ``data_centre.Members``.
+        self._inst.servers.fleet.record(count, self._inst.now())
+        # What is known now counts for a minute, see ``local_membership``.
         self._names_here()
 
     def _names_here(self) -> tuple[str, ...]:
--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from irisshelf import boottime
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 from irisshelf.gateway.servers import crashes as crashes_module
 from irisshelf.observe import decision_log
@@ -67,7 +67,7 @@
         *,
         crashes: crashes_module.Crashes,
         datagrams: datagrams_module.Datagrams,
-        roster: roster_module.Roster,
+        roster: membership_module.Membership,
         log: decision_log.DecisionLog,
     ):
         self._log = log
@@ -158,7 +158,7 @@
         message.relay = True
         data = _encode(message)
         told: dict[str, int] = {}
-        for member in self._roster.elsewhere(boottime.now()):
+        for member in self._roster.remote_members(boottime.now()):
             count = told.get(member.data_centre, 0)
             if count < _ABROAD:
                 told[member.data_centre] = count + 1
--- a/irisshelf/gateway/knowledge/fact_gossip.py
+++ b/irisshelf/gateway/knowledge/fact_gossip.py
@@ -24,7 +24,7 @@
 
 from irisshelf import boottime
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 
 # Answers last a second or so; what is told is a fraction of that old.
@@ -75,7 +75,7 @@
 
     def __init__(self):
         self.loads: dict[bytes, facts.ServerLoad] = {}
-        self.holds: collections.deque[facts.PartHeld] = collections.deque(
+        self.holds: collections.deque[facts.PartCached] = collections.deque(
             maxlen=_MOST_WAITING
         )
         self.colds: dict[bytes, facts.ServerCold] = {}
@@ -96,7 +96,7 @@
             self.loads[fact.server] = fact
 
     @add.register
-    def _(self, fact: facts.PartHeld) -> None:
+    def _(self, fact: facts.PartCached) -> None:
         self.holds.append(fact)
 
     @add.register
@@ -159,7 +159,7 @@
         self,
         *,
         datagrams: datagrams_module.Datagrams,
-        roster: roster_module.Roster,
+        roster: membership_module.Membership,
         on_fact: Callable[[facts.Fact], None],
         rng: random.Random,
     ):
@@ -185,7 +185,7 @@
     def send(self) -> None:
         """Sends the facts taken since the last time, if there are any."""
         now = boottime.now()
-        first = self._roster.first(now)
+        first = self._roster.leader(now)
         if first is not None:
             self._send_facts(self._own, _Hop.TO_RELAY, [first])
             # Facts for others that came while this instance was the first.
@@ -210,7 +210,7 @@
             self._on_fact(fact)
         if message.hop is _Hop.TO_ALL:
             return
-        first = self._roster.first(boottime.now())
+        first = self._roster.leader(boottime.now())
         if first is None:
             outbox = self._own if at_home else self._foreign
             for fact in told:
@@ -223,9 +223,9 @@
         self,
         outbox: _Outbox,
         hop: _Hop,
-        members: list[roster_module.Member],
+        members: list[membership_module.Member],
         *,
-        abroad: Sequence[roster_module.Member] = (),
+        abroad: Sequence[membership_module.Member] = (),
     ) -> None:
         if not outbox:
             return
@@ -238,10 +238,10 @@
         for member in abroad:
             self._datagrams.send(member.address, data)
 
-    def _one_elsewhere(self) -> list[roster_module.Member]:
+    def _one_elsewhere(self) -> list[membership_module.Member]:
         """Returns one instance of each other data centre."""
-        found: dict[str, list[roster_module.Member]] = {}
-        for member in self._roster.elsewhere(boottime.now()):
+        found: dict[str, list[membership_module.Member]] = {}
+        for member in self._roster.remote_members(boottime.now()):
             found.setdefault(member.data_centre, []).append(member)
         return [self._rng.choice(group) for group in found.values()]
 
@@ -269,7 +269,7 @@
             found.add(facts.ServerLoad(server=server, work=work, at_s=at_s))
     for server, parts in message.holds.items():
         for part in parts:
-            found.add(facts.PartHeld(server=server, part=part))
+            found.add(facts.PartCached(server=server, part=part))
     for server, left_ms in message.colds:
         until_s = now + left_ms / 1000
         found.add(facts.ServerCold(server=server, until_s=until_s))
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -121,10 +121,10 @@
         sent_s = boottime.now()
         watch = self.tables.watches[table]
         after = watch.position
-        if table is feed.Table.CATALOG and watch.reads_newest_alone(sent_s):
+        if table is feed.Table.CATALOG and watch.should_read_snapshot(sent_s):
             after = None
         wait_s = self._wait_s(table, sent_s)
-        watch.asked()
+        watch.record_request()
         if after is None:
             answer = self._store.whole(table)
         else:
@@ -140,9 +140,9 @@
             self._inst.log.problem(
                 "store_history_lost", table=table.value, after=str(after)
             )
-            watch.forgotten()
+            watch.record_history_lost()
             return True
-        watch.failed()
+        watch.record_failure()
         self._failed(table, answer.err_value)
         return False
 
@@ -185,10 +185,10 @@
         if not begins and wanted is None:
             return False
         within_s = store_timing.relay_s(self._inst.cfg.bounds, begins=begins)
-        watch.asked()
+        watch.record_request()
         relayed = self._relay.fetch(table, wanted, within_s=within_s)
         if relayed is None:
-            watch.failed()
+            watch.record_failure()
             return False
         taken = self.tables.relayed(table, relayed, boottime.now())
         self._wake_askers()
@@ -197,7 +197,7 @@
     def _role(self) -> shared_watch.Role:
         shares = self._updates is not None
         if not (shares and self._inst.cfg.policy.shared_watch):
-            return shared_watch.Role.ALONE
+            return shared_watch.Role.STANDALONE
         return self._updates.role()
 
     def _rest_while_told(self, table: feed.Table) -> None:
@@ -206,7 +206,7 @@
         updated = self._updated[table]
         while True:
             timing = store_timing.watch_timing(self._inst.cfg.bounds)
-            until_s = watch.rests_until_s(self._role(), timing)
+            until_s = watch.updates_suffice_until_s(self._role(), timing)
             left_s = until_s - boottime.now()
             if left_s <= 0:
                 return
@@ -233,10 +233,10 @@
             # After trouble, what the store knows now is wanted at once.
             return 0.0
         bounds = self._inst.cfg.bounds
-        return self.tables.watches[table].hold_s(
+        return self.tables.watches[table].long_poll_s(
             self._role(),
             store_timing.watch_timing(bounds),
-            alone_s=store_timing.hold_s(table, bounds),
+            standalone_s=store_timing.hold_s(table, bounds),
             now=now,
         )
 
@@ -326,7 +326,7 @@
         """Tells whether this instance reads, and its watcher is silent."""
         timing = store_timing.watch_timing(self._inst.cfg.bounds)
         reads = self._role() is shared_watch.Role.READER
-        return reads and self.tables.watches[table].is_silent(
+        return reads and self.tables.watches[table].updates_overdue(
             timing, boottime.now()
         )
 
--- a/irisshelf/gateway/knowledge/neighbours.py
+++ b/irisshelf/gateway/knowledge/neighbours.py
@@ -19,7 +19,7 @@
 import result
 
 from irisshelf import boottime
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.observe import decision_log
 from irisshelf.transport import client
 from irisshelf.transport import errors
@@ -59,12 +59,12 @@
     def __init__(
         self,
         *,
-        own: roster.Member,
+        own: membership.Member,
         seeds: tuple[str, ...],
         log: decision_log.DecisionLog,
         on_members: Callable[[int], None] = lambda count: None,
     ):
-        self.roster = roster.Roster(own=own)
+        self.roster = membership.Membership(own=own)
         self._seeds = tuple(seed for seed in seeds if seed != own.address)
         self._log = log
         self._on_members = on_members
@@ -84,7 +84,7 @@
             if now - asked_seeds_s > _SEEDS_EVERY_S or not self._neighbours():
                 asked_seeds_s = now
                 self._ask_seeds()
-            first = self.roster.first(now)
+            first = self.roster.leader(now)
             if first is not None:
                 self._ask_members(first.address)
             count = self._neighbours()
@@ -129,7 +129,7 @@
         now = boottime.now()
         own = self.roster.own.data_centre
         near = [member for member, _ in self.roster.members(own, now)]
-        for member in [*near, *self.roster.elsewhere(now)][:_MOST_ASKED]:
+        for member in [*near, *self.roster.remote_members(now)][:_MOST_ASKED]:
             answer = self._get(member.address, path)
             if isinstance(answer, result.Ok):
                 return answer.ok_value
@@ -149,11 +149,11 @@
         fields = dict(urllib.parse.parse_qsl(query))
         asker = _asker(fields)
         if path == "/goodbye":
-            self.roster.left(asker.name)
+            self.roster.remove(asker.name)
             conn.answer(_OK, [], b"")
         elif path == "/members":
             if asker.name and asker.address:
-                self.roster.heard(asker, boottime.now())
+                self.roster.record_alive(asker, boottime.now())
             conn.answer(_OK, [], self._members(asker.data_centre))
         elif path in self._answers:
             answer = self._answers[path](fields)
@@ -199,13 +199,13 @@
             return
         now = boottime.now()
         for name, where, data_centre, link_mbps, age_s in rows:
-            member = roster.Member(
+            member = membership.Member(
                 name=name,
                 address=where,
                 data_centre=data_centre,
                 link_mbps=link_mbps,
             )
-            self.roster.heard(member, now - max(0.0, age_s))
+            self.roster.record_alive(member, now - max(0.0, age_s))
 
     def _get(
         self, address: str, question: str, answer_s: float = _ANSWER_S
@@ -235,7 +235,7 @@
         return client.connect(address, timeout_s=_CONNECT_S)
 
 
-def _asker(fields: Mapping[str, str]) -> roster.Member:
+def _asker(fields: Mapping[str, str]) -> membership.Member:
     """Returns who asks, as far as it says so."""
     try:
         link_mbps = msgspec.convert(
@@ -243,7 +243,7 @@
         )
     except msgspec.ValidationError:
         link_mbps = 0.0
-    return roster.Member(
+    return membership.Member(
         name=fields.get("name", ""),
         address=fields.get("address", ""),
         data_centre=fields.get("data_centre", ""),
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -73,14 +73,14 @@
         else:
             self._inst.directory.apply(changes)
         self._position = position
-        self._changes.add(changes, position, now)
+        self._changes.append(changes, position, now)
         self._inst.server_list_taken()
         self._inst.eligible.entries_told(changes)
         self._log_changes(changes, position, now, whole=False)
 
     def update(self, store_s: float, now: float) -> shared_watch.ServersUpdate:
         """Returns what readers are told; see ``ChangeLog.update``."""
-        return self._changes.update(store_s, now)
+        return self._changes.build_update(store_s, now)
 
     def expire(self, now: float) -> None:
         """Drops servers whose lapsed entries have not come back.
@@ -108,7 +108,7 @@
             after_outage=self._after_outage(now),
             copied=copied,
         )
-        self._changes.restart(position)
+        self._changes.reset(position)
         self._inst.server_list_taken()
         self._inst.eligible.entries_told(entries)
         self._log_changes(entries, position, now, whole=True)
--- a/irisshelf/gateway/knowledge/store_timing.py
+++ b/irisshelf/gateway/knowledge/store_timing.py
@@ -66,7 +66,7 @@
 def gather_s(
     table: feed.Table,
     bounds: settings.Bounds,
-    role: shared_watch.Role = shared_watch.Role.ALONE,
+    role: shared_watch.Role = shared_watch.Role.STANDALONE,
 ) -> float:
     """Returns how long changes are gathered after one, in seconds."""
     if role is shared_watch.Role.WATCHER:
--- a/irisshelf/gateway/knowledge/store_updates.py
+++ b/irisshelf/gateway/knowledge/store_updates.py
@@ -18,7 +18,7 @@
 
 from irisshelf import boottime
 from irisshelf.catalog import position as position_module
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 from irisshelf.gateway.knowledge import entries
@@ -66,13 +66,13 @@
         self,
         *,
         datagrams: datagrams_module.Datagrams,
-        roster: roster_module.Roster,
+        roster: membership_module.Membership,
         log: decision_log.DecisionLog,
     ):
         self._datagrams = datagrams
         self._roster = roster
         self._log = log
-        self._role = shared_watch.Role.ALONE
+        self._role = shared_watch.Role.STANDALONE
         self._on_update: Callable[[shared_watch.Update], None] | None = None
         datagrams.subscribe(_KIND, self.take)
 
@@ -86,7 +86,7 @@
         role = shared_watch.role(self._roster, now)
         if role is not self._role:
             self._role = role
-            first = self._roster.first(now)
+            first = self._roster.leader(now)
             self._log.instance(
                 "store_watch",
                 role=role.value,
@@ -99,7 +99,7 @@
         now = boottime.now()
         own = self._roster.own.data_centre
         return bool(
-            self._roster.members(own, now) or self._roster.elsewhere(now)
+            self._roster.members(own, now) or self._roster.remote_members(now)
         )
 
     def tell(self, update: shared_watch.Update) -> None:
--- a/irisshelf/gateway/knowledge/tables.py
+++ b/irisshelf/gateway/knowledge/tables.py
@@ -69,7 +69,7 @@
         Returns:
             Whether it tells the newest state.
         """
-        newest = self.watches[table].answered(
+        newest = self.watches[table].record_response(
             batch.position, now, whole=batch.whole
         )
         if not newest:
@@ -99,7 +99,9 @@
             sent_s=relayed.sent_s, clock_s=relayed.clock_s, era=era
         )
         as_of_s = fresh.time_of(batch.store_s, now, era)
-        if not self.watches[table].relayed(batch.position, as_of_s):
+        if not self.watches[table].record_relayed_table(
+            batch.position, as_of_s
+        ):
             return False
         if table is _SERVERS:
             self.servers.take(batch, now)
@@ -107,7 +109,7 @@
             self.operators.take(batch, now)
             if not self.operators.store_is_behind:
                 fresh.confirmed(as_of_s)
-                self.watches[_CATALOG].caught_up(as_of_s)
+                self.watches[_CATALOG].record_caught_up(as_of_s)
         self._known_to(table, batch.position, batch.store_s)
         return True
 
@@ -129,10 +131,10 @@
         self, update: shared_watch.CatalogUpdate, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
         watch = self.watches[_CATALOG]
-        verdict = shared_watch.judge_catalog(
+        verdict = shared_watch.classify_catalog_update(
             update, watch.position, self.operators.stored_version
         )
-        watch.updated(as_of_s, update.position, verdict)
+        watch.record_update(as_of_s, update.position, verdict)
         if verdict is not _Verdict.STALE:
             self.operators.hear(update, now)
         if verdict is _Verdict.FETCH:
@@ -144,7 +146,7 @@
         if verdict is _Verdict.CURRENT:
             if not self.operators.store_is_behind:
                 self._inst.freshness.confirmed(as_of_s)
-            watch.follows_to(update.position)
+            watch.advance_to(update.position)
             self._known_to(_CATALOG, update.position, update.store_s)
         return verdict
 
@@ -153,15 +155,15 @@
         self, update: shared_watch.ServersUpdate, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
         watch = self.watches[_SERVERS]
-        verdict = shared_watch.judge_servers(update, watch.position)
-        watch.updated(as_of_s, update.position, verdict)
+        verdict = shared_watch.classify_servers_update(update, watch.position)
+        watch.record_update(as_of_s, update.position, verdict)
         if verdict is _Verdict.FETCH:
             self._wanted[_SERVERS] = whole_table.Wanted(
                 position=update.position
             )
         if verdict is _Verdict.APPLY:
             self.servers.change(update.changes, update.position, now)
-            watch.follows_to(update.position)
+            watch.advance_to(update.position)
         if verdict in (_Verdict.APPLY, _Verdict.CURRENT):
             self._known_to(_SERVERS, update.position, update.store_s)
         return verdict
@@ -178,7 +180,7 @@
         """Drops what has lapsed and did not come back."""
         self.servers.expire(now)
         if self.servers.settles(now):
-            self.watches[_SERVERS].forgotten()
+            self.watches[_SERVERS].record_history_lost()
         self.operators.expire(now)
 
     def _confirm(
@@ -201,7 +203,7 @@
         # One that was known need not be transferred again, so that its transfer
         # is no reason to read the newest alone the next time.
         as_of_s = fresh.time_of(batch.store_s, now, era) if brought else now
-        self.watches[_CATALOG].caught_up(as_of_s)
+        self.watches[_CATALOG].record_caught_up(as_of_s)
 
     def _known_to(
         self,
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -136,7 +136,7 @@
             )
             self._budgets[service] = found
         found.slack = retry_budget.share_of_slack(
-            self.cfg.bounds.retry_slack, self.fleet.count(self._now())
+            self.cfg.bounds.retry_slack, self.fleet.estimate(self._now())
         )
         return found
 
@@ -159,7 +159,7 @@
         fresh = chooser.sent(asked, server.server_id, self._now())
         key = directory.key_of(server.server_id)
         for part in fresh:
-            self.tell(facts.PartHeld(server=key, part=part))
+            self.tell(facts.PartCached(server=key, part=part))
 
     @functools.singledispatchmethod
     def heard_fact(self, fact: facts.Fact) -> None:
@@ -167,7 +167,7 @@
         raise TypeError(f"fact is {fact!r}, allowed: {facts.Fact}")
 
     @heard_fact.register
-    def _(self, fact: facts.PartHeld) -> None:
+    def _(self, fact: facts.PartCached) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
             held = self.chooser(server.service).holdings
--- a/irisshelf/observe/timeline.py
+++ b/irisshelf/observe/timeline.py
@@ -37,7 +37,7 @@
 class Event:
     """One thing that happened in one process."""
 
-    stamp: clock.Stamp
+    stamp: clock.Timestamp
     kind: Kind
     request: str = ""
     attempt: str = ""
@@ -88,7 +88,7 @@
         """Moves past the stamp of a message; one that is no stamp is left."""
         parts = stamp_text.split(" ")
         try:
-            stamp = clock.Stamp(
+            stamp = clock.Timestamp(
                 wall_s=float(parts[0]), count=int(parts[1]), process=parts[2]
             )
         except (ValueError, IndexError):
@@ -114,7 +114,7 @@
     """
     try:
         fields = dict(document)
-        fields["stamp"] = clock.Stamp(**fields["stamp"])
+        fields["stamp"] = clock.Timestamp(**fields["stamp"])
         fields["kind"] = Kind(fields["kind"])
         return Event(**fields)
     except (KeyError, TypeError) as exc:
--- a/irisshelf/peers/relay_messages.py
+++ b/irisshelf/peers/relay_messages.py
@@ -74,7 +74,7 @@
     """
     try:
         return _request(cbor2.loads(data))
-    except gossip_messages.MALFORMED as exc:
+    except gossip_messages.DECODE_ERRORS as exc:
         return result.Err(f"{type(exc).__name__}: {exc}")
 
 
--- a/irisshelf/platform/stand_in/entry.py
+++ b/irisshelf/platform/stand_in/entry.py
@@ -10,7 +10,7 @@
 import gevent
 
 from irisshelf import boottime
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import instance
 from irisshelf.gateway import listener
 from irisshelf.gateway import settings
@@ -93,12 +93,12 @@
             inst=self.inst, store=store_feed.StoreFeed(address=store)
         )
         self._datagrams = datagrams.Datagrams(address=_ANY_PORT, log=log)
-        self.member = roster.Member(
+        self.member = membership.Member(
             name=name,
             address=self._datagrams.address,
             data_centre=data_centre,
         )
-        self.roster = roster.Roster(own=self.member)
+        self.roster = membership.Membership(own=self.member)
         self.crash_gossip = crash_gossip.CrashGossip(
             crashes=self.inst.crashes,
             datagrams=self._datagrams,
@@ -122,7 +122,7 @@
     def meet(self, others: Sequence[Entry]) -> None:
         """Makes other instances known to this one."""
         for other in others:
-            self.roster.heard(other.member, boottime.now())
+            self.roster.record_alive(other.member, boottime.now())
 
     def close(self) -> None:
         """Ends everything."""
--- a/irisshelf/testing/cold_fleet.py
+++ b/irisshelf/testing/cold_fleet.py
@@ -15,8 +15,8 @@
 import random
 from collections.abc import Sequence
 
-from irisshelf.coordination import data_centre
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import local_membership
+from irisshelf.coordination import membership as membership_module
 from irisshelf.routing.direct import cold_start
 
 _SERVER = "cold"
@@ -122,12 +122,12 @@
         self.names = [f"n{number}" for number in range(count)]
         members = {n: _member(n) for n in self.names}
         self._rosters = {
-            name: roster_module.Roster(own=member)
+            name: membership_module.Membership(own=member)
             for name, member in members.items()
         }
         self._known = {
-            name: data_centre.Members(
-                roster=self._rosters[name], alone=alone, began_s=_BEGAN_S
+            name: local_membership.LocalMembership(
+                membership=self._rosters[name], alone=alone, began_s=_BEGAN_S
             )
             for name in self.names
         }
@@ -142,10 +142,10 @@
     def start_anew(self, names: Sequence[str], now: float) -> None:
         """Instances are killed and begin, knowing nobody."""
         for name in names:
-            roster = roster_module.Roster(own=_member(name))
+            roster = membership_module.Membership(own=_member(name))
             self._rosters[name] = roster
-            self._known[name] = data_centre.Members(
-                roster=roster, alone=False, began_s=now
+            self._known[name] = local_membership.LocalMembership(
+                membership=roster, alone=False, began_s=now
             )
 
     def hear(self, since_s: float, until_s: float) -> None:
@@ -155,7 +155,7 @@
             for group in self._groups:
                 for name in group:
                     for other in group - {name}:
-                        self._rosters[name].heard(_member(other), now)
+                        self._rosters[name].record_alive(_member(other), now)
                     self._known[name].names(now)
             now += _ANSWERS_EVERY_S
 
@@ -178,8 +178,8 @@
         )
 
 
-def _member(name: str) -> roster_module.Member:
-    return roster_module.Member(name=name, address=name, data_centre="a")
+def _member(name: str) -> membership_module.Member:
+    return membership_module.Member(name=name, address=name, data_centre="a")
 
 
 def _worst_second(times: Sequence[float]) -> int:
--- a/irisshelf/tests/test_catching_up.py
+++ b/irisshelf/tests/test_catalog_catch_up.py
@@ -306,7 +306,9 @@
         self.clock.at(now + 0.1, self._check)
 
 
-@pytest.mark.parametrize("role", [_Role.READER, _Role.ALONE, _Role.WATCHER])
+@pytest.mark.parametrize(
+    "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
+)
 @pytest.mark.parametrize("gap_s", [0.25, 0.33, 0.8])
 def test_what_was_missed_while_cut_off_is_not_brought_one_by_one(
     monkeypatch, role, gap_s
@@ -320,7 +322,9 @@
     assert (play.late, play.understated) == ([], [])
 
 
-@pytest.mark.parametrize("role", [_Role.READER, _Role.ALONE, _Role.WATCHER])
+@pytest.mark.parametrize(
+    "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
+)
 @pytest.mark.parametrize("gap_s", [0.3, 0.5, 1.0])
 def test_changes_in_series_of_a_long_configuration_do_not_pile_up(
     monkeypatch, role, gap_s
@@ -334,7 +338,9 @@
     assert (play.late, play.understated) == ([], [])
 
 
-@pytest.mark.parametrize("role", [_Role.READER, _Role.ALONE, _Role.WATCHER])
+@pytest.mark.parametrize(
+    "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
+)
 def test_a_burst_that_one_answer_cannot_hold_is_not_taken_for_known(
     monkeypatch, role
 ):
@@ -358,18 +364,20 @@
 )
 def test_when_the_newest_is_read_alone(told_revision, since_s, alone):
     watch = table_watch.TableWatch()
-    assert watch.reads_newest_alone(0.0)
-    watch.answered(_at(5), 10.0, whole=True)
-    watch.caught_up(10.0)
+    assert watch.should_read_snapshot(0.0)
+    watch.record_response(_at(5), 10.0, whole=True)
+    watch.record_caught_up(10.0)
     if told_revision is not None:
         verdict = shared_watch.Verdict.FETCH
         if told_revision == 5:
             verdict = shared_watch.Verdict.CURRENT
-        watch.updated(10.0, _at(told_revision), verdict)
-    assert watch.reads_newest_alone(10.0 + since_s) is alone
+        watch.record_update(10.0, _at(told_revision), verdict)
+    assert watch.should_read_snapshot(10.0 + since_s) is alone
 
 
-@pytest.mark.parametrize("role", [_Role.READER, _Role.ALONE, _Role.WATCHER])
+@pytest.mark.parametrize(
+    "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
+)
 @pytest.mark.parametrize("body_bytes", [80_000, 630_000])
 def test_a_configuration_at_rest_is_brought_once(monkeypatch, role, body_bytes):
     """Beside the first, at most one more after a cut."""
--- a/irisshelf/tests/test_cold_start.py
+++ b/irisshelf/tests/test_cold_start.py
@@ -13,9 +13,9 @@
 import pytest
 
 from irisshelf.catalog import directory
-from irisshelf.coordination import data_centre
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import local_membership
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway import settings
 from irisshelf.platform.stand_in import server
 from irisshelf.platform.stand_in import world as world_module
@@ -187,17 +187,19 @@
 
 
 def _members(*, alone=False, began_s=-100.0, elsewhere=True):
-    own = roster_module.Member(name="n0", address="", data_centre="a")
-    roster = roster_module.Roster(own=own)
+    own = membership_module.Member(name="n0", address="", data_centre="a")
+    roster = membership_module.Membership(own=own)
     if elsewhere:
-        far = roster_module.Member(name="far", address="", data_centre="b")
-        roster.heard(far, 10.0)
-    found = data_centre.Members(roster=roster, alone=alone, began_s=began_s)
+        far = membership_module.Member(name="far", address="", data_centre="b")
+        roster.record_alive(far, 10.0)
+    found = local_membership.LocalMembership(
+        membership=roster, alone=alone, began_s=began_s
+    )
     return roster, found
 
 
 def _near(name):
-    return roster_module.Member(name=name, address="", data_centre="a")
+    return membership_module.Member(name=name, address="", data_centre="a")
 
 
 @pytest.mark.parametrize(
@@ -213,7 +215,7 @@
 def test_who_knows_the_others_well_enough(options, others, now, known):
     roster, members = _members(**options)
     for number in range(others):
-        roster.heard(_near(f"n{number + 1}"), now)
+        roster.record_alive(_near(f"n{number + 1}"), now)
     assert len(members.names(now)) == known
 
 
@@ -221,13 +223,13 @@
     """It slept, or is cut off: it would take all shares on."""
     roster, members = _members()
     for number in range(9):
-        roster.heard(_near(f"n{number + 1}"), 10.0)
+        roster.record_alive(_near(f"n{number + 1}"), 10.0)
     assert len(members.names(10.0)) == 10
     # Nobody was heard for seven seconds but three.
     for number in range(3):
-        roster.heard(_near(f"n{number + 1}"), 17.0)
+        roster.record_alive(_near(f"n{number + 1}"), 17.0)
     assert members.names(17.0) == ()
-    roster.heard(_near("n4"), 17.1)
+    roster.record_alive(_near("n4"), 17.1)
     assert len(members.names(17.1)) == 5
 
 
--- a/irisshelf/tests/test_coordination.py
+++ b/irisshelf/tests/test_coordination.py
@@ -77,9 +77,11 @@
 
 
 def test_a_recorded_outcome_comes_back_whole():
-    recorded = claim.Recorded(status=201, content_type="x/y", body="done")
+    recorded = claim.RecordedOutcome(
+        status=201, content_type="x/y", body="done"
+    )
     granted = claim.Granted(claim=_CLAIM, version=1)
-    write = claim.record(granted, recorded)
+    write = claim.outcome_write(granted, recorded)
     other = dataclasses.replace(_CLAIM, claim_id="b")
     step = claim.after_read(other, _row(write.value))
     assert step == claim.Duplicate(claim=other, recorded=recorded)
@@ -115,9 +117,9 @@
     ("row", "step"),
     [
         (_head_row(4, version=1), head.Resubmit),
-        (_head_row(5, "s5", version=2), head.Won),
-        (_head_row(5, "s9", version=2), head.Lost),
-        (_head_row(6, "s9", version=3), head.Lost),
+        (_head_row(5, "s5", version=2), head.Committed),
+        (_head_row(5, "s9", version=2), head.Superseded),
+        (_head_row(6, "s9", version=3), head.Superseded),
     ],
 )
 def test_a_lost_submission_is_settled_by_reading_back(row, step):
@@ -137,7 +139,7 @@
     follower = head.Follower()
     for number, taken in zip(heard, adopted, strict=True):
         seen = head.Head(number=number, object_key=str(number))
-        if follower.see(seen):
+        if follower.observe(seen):
             follower.adopt(taken)
     assert follower.in_force == in_force
     assert not follower.adopt(in_force)
@@ -145,10 +147,10 @@
 
 def test_a_refused_bundle_is_not_fetched_again():
     follower = head.Follower()
-    assert follower.see(_HEAD)
+    assert follower.observe(_HEAD)
     follower.reject(_HEAD)
-    assert not follower.see(_HEAD)
-    assert follower.wanted is None
+    assert not follower.observe(_HEAD)
+    assert follower.pending is None
 
 
 _TERMS = lease.Terms()
@@ -165,19 +167,19 @@
 
 
 def _take(state, now, version):
-    state, made = lease.write(state, now=now)
+    state, made = lease.build_write(state, now=now)
     answer = result.Ok((version,))
     state = lease.after_write(state, made, answer, terms=_TERMS, now=now + 1)
     return state, made
 
 
 def test_a_lease_is_counted_from_before_the_request():
-    state = lease.start(name="a", data_centre="d")
+    state = lease.initial_state(name="a", data_centre="d")
     state = lease.observe(state, _MISSING, 0.0)
-    assert lease.wants_write(state, terms=_TERMS, now=0.0)
+    assert lease.should_write(state, terms=_TERMS, now=0.0)
     state, made = _take(state, 0.0, 1)
     assert (made.if_version, made.value["fence"]) == (messages.ABSENT, 1)
-    assert state.held.until_s == _TERMS.length_s
+    assert state.held.expires_s == _TERMS.duration_s
     may = [
         lease.may_order(state, terms=_TERMS, checks_fencing=True, now=now)
         for now in (1.0, 9.9, 10.0)
@@ -186,7 +188,7 @@
 
 
 def test_an_engine_that_ignores_numbers_waits_for_the_old_holder():
-    state = lease.start(name="a", data_centre="d")
+    state = lease.initial_state(name="a", data_centre="d")
     state = lease.observe(state, _MISSING, 0.0)
     state, _ = _take(state, 0.0, 1)
     may = {
@@ -194,7 +196,7 @@
         for now in (1.0, 7.9, 8.1, 9.9)
     }
     assert may == {1.0: False, 7.9: False, 8.1: False, 9.9: False}
-    state, made = lease.write(state, now=5.0)
+    state, made = lease.build_write(state, now=5.0)
     assert made.value["fence"] == 1  # A renewal keeps the number.
     state = lease.after_write(
         state, made, result.Ok((2,)), terms=_TERMS, now=5.1
@@ -203,18 +205,18 @@
 
 
 def test_another_takes_over_only_after_the_stretched_length():
-    state = lease.start(name="b", data_centre="d")
+    state = lease.initial_state(name="b", data_centre="d")
     state = lease.observe(state, _lease_row("a", 4, 7), 100.0)
-    assert not lease.wants_write(state, terms=_TERMS, now=110.0)
-    assert lease.wants_write(state, terms=_TERMS, now=110.2)
+    assert not lease.should_write(state, terms=_TERMS, now=110.0)
+    assert lease.should_write(state, terms=_TERMS, now=110.2)
     renewed = lease.observe(state, _lease_row("a", 4, 8), 109.0)
-    assert not lease.wants_write(renewed, terms=_TERMS, now=110.2)
-    _, made = lease.write(state, now=110.2)
+    assert not lease.should_write(renewed, terms=_TERMS, now=110.2)
+    _, made = lease.build_write(state, now=110.2)
     assert (made.if_version, made.value["fence"]) == (7, 5)
 
 
 def test_a_holder_that_was_replaced_stops():
-    state = lease.start(name="a", data_centre="d")
+    state = lease.initial_state(name="a", data_centre="d")
     state = lease.observe(state, _MISSING, 0.0)
     state, _ = _take(state, 0.0, 1)
     state = lease.observe(state, _lease_row("b", 2, 5), 3.0)
@@ -222,13 +224,13 @@
 
 
 def test_a_lost_renewal_lengthens_nothing():
-    state = lease.start(name="a", data_centre="d")
+    state = lease.initial_state(name="a", data_centre="d")
     state = lease.observe(state, _MISSING, 0.0)
     state, _ = _take(state, 0.0, 1)
-    state, made = lease.write(state, now=5.0)
+    state, made = lease.build_write(state, now=5.0)
     state = lease.after_write(state, made, _LOST, terms=_TERMS, now=6.0)
     state = lease.observe(state, _lease_row("a", 1, 2), 7.0)
-    assert state.held.until_s == _TERMS.length_s
+    assert state.held.expires_s == _TERMS.duration_s
     assert state.held.version == 2
 
 
@@ -236,9 +238,9 @@
     wall = [100.0]
     made = clock.HybridClock(process="a", wall=lambda: wall[0])
     first = made.now()
-    ahead = clock.Stamp(wall_s=130.0, count=4, process="b")
+    ahead = clock.Timestamp(wall_s=130.0, count=4, process="b")
     assert made.receive(ahead) > ahead
-    wild = clock.Stamp(wall_s=1e9, count=0, process="c")
+    wild = clock.Timestamp(wall_s=1e9, count=0, process="c")
     assert made.receive(wild) < wild
     assert made.now() > first
     wall[0] = 50.0  # The wall clock is set back.
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -56,7 +56,7 @@
     world = make_world(servers=8, data_centres=("a", "b", "b", "b", "b", "b"))
     first, *others = world.entries
     for other in others[1:]:
-        first.roster.left(other.member.name)
+        first.roster.remove(other.member.name)
     _end_under(world, 1)
     world.wait(lambda: _stages(world) == ["suspect"] * 6)
 
--- a/irisshelf/tests/test_fact_gossip.py
+++ b/irisshelf/tests/test_fact_gossip.py
@@ -10,7 +10,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import directory
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway.knowledge import datagrams
 from irisshelf.gateway.knowledge import fact_gossip
 from irisshelf.observe import decision_log
@@ -28,8 +28,8 @@
         self.log = decision_log.DecisionLog(instance=name, fd=self._fd)
         self.problems = []
         self.log.problem = lambda name, **fields: self.problems.append(name)
-        own = roster.Member(name=name, address="", data_centre=data_centre)
-        self.roster = roster.Roster(own=own)
+        own = membership.Member(name=name, address="", data_centre=data_centre)
+        self.roster = membership.Membership(own=own)
         self.datagrams = datagrams.Datagrams(
             address="127.0.0.1:0", log=self.log
         )
@@ -39,7 +39,7 @@
             on_fact=self._take,
             rng=random.Random(1),
         )
-        self.member = roster.Member(
+        self.member = membership.Member(
             name=name, address=self.datagrams.address, data_centre=data_centre
         )
         self.greenlets = [
@@ -70,7 +70,7 @@
     ]
     for one in made:
         for other in made:
-            one.roster.heard(other.member, boottime.now())
+            one.roster.record_alive(other.member, boottime.now())
     yield made
     for one in made:
         gevent.killall(one.greenlets)
@@ -110,7 +110,7 @@
     pairs = [(_KEY, bytes([n])) for n in range(100)]
     for pair in pairs:
         server, part = pair
-        four[0].gossip.tell(facts.PartHeld(server=server, part=part))
+        four[0].gossip.tell(facts.PartCached(server=server, part=part))
     _wait(lambda: all(len(set(one.holds)) == 100 for one in four[1:]))
     assert all(sorted(set(one.holds)) == pairs for one in four[1:])
 
@@ -159,7 +159,7 @@
             facts.ServerLoad(server=key, work=10**6, at_s=boottime.now() - 4.9)
         )
         part = number.to_bytes(4, "big")
-        four[0].gossip.tell(facts.PartHeld(server=key, part=part))
+        four[0].gossip.tell(facts.PartCached(server=key, part=part))
     four[0].gossip.send()
     longest = max(map(len, sent))
     assert longest <= datagrams.MOST_BYTES
--- a/irisshelf/tests/test_gossip.py
+++ b/irisshelf/tests/test_gossip.py
@@ -6,26 +6,28 @@
 from gevent import server
 from gevent import socket
 
-from irisshelf.coordination import budget
 from irisshelf.coordination import gossip
 from irisshelf.coordination import gossip_messages as messages
+from irisshelf.coordination import token_bucket
 from irisshelf.peers import errors
 from irisshelf.peers import link
 from irisshelf.testing import harness
 
-_LOAD = messages.Load(service="lm", work=10.0, engines=2, full=(1,))
+_LOAD = messages.Load(service="lm", work=10.0, engines=2, full_engines=(1,))
 
 
-def _node(name, place="a", *, incarnation=1, bytes_per_s=1e9, first_beat=0):
+def _node(
+    name, place="a", *, incarnation=1, bytes_per_s=1e9, first_heartbeat=0
+):
     node = gossip.Gossip(
         name=name,
         data_centre=place,
         incarnation=incarnation,
         rng=random.Random(name),
-        budget=budget.Budget(bytes_per_s=bytes_per_s),
-        first_beat=first_beat,
+        budget=token_bucket.TokenBucket(bytes_per_s=bytes_per_s),
+        first_heartbeat=first_heartbeat,
     )
-    node.set_own(
+    node.set_local_state(
         now=0.0,
         loads=[_LOAD],
         leaving=False,
@@ -90,9 +92,9 @@
     net.run(10)
     for name in _FIVE:
         assert net.statuses(name) == {_ALIVE}
-        found = net.nodes[name].others("lm", net.now)
+        found = net.nodes[name].load_of_others("lm", net.now)
         assert (found.work, found.engines) == (60.0, 12)
-        assert net.nodes[name].near(net.now) == sorted(_FIVE)
+        assert net.nodes[name].live_local_instances(net.now) == sorted(_FIVE)
 
 
 def test_a_dead_instance_is_known_within_3_s():
@@ -101,7 +103,7 @@
     net.silent.add("i2")
     net.run(3)
     assert net.statuses("i2") == {_DEAD}
-    assert "i2" not in net.nodes["i0"].near(net.now)
+    assert "i2" not in net.nodes["i0"].live_local_instances(net.now)
 
 
 def test_a_paused_instance_that_comes_back_is_taken_back():
@@ -140,14 +142,16 @@
     net = _Net(_FIVE)
     net.run(5)
     old = net.nodes["i2"]
-    first_beat = round(net.now / gossip.TICK_S)
-    net.nodes["i2"] = _node("i2", incarnation=2, first_beat=first_beat)
+    first_heartbeat = round(net.now / gossip.TICK_S)
+    net.nodes["i2"] = _node(
+        "i2", incarnation=2, first_heartbeat=first_heartbeat
+    )
     net.nodes["i2"].set_peers(
         [gossip.Peer(name=n, data_centre="a") for n in _FIVE if n != "i2"]
     )
     net.run(4)
     assert net.statuses("i2") == {_ALIVE}
-    assert old.conflicts == 0
+    assert old.name_conflicts == 0
 
 
 def test_two_instances_with_one_name_are_counted():
@@ -162,7 +166,7 @@
             other.receive(out.message, now)
         for out in other.tick(now):
             one.receive(out.message, now)
-    assert one.conflicts >= 1
+    assert one.name_conflicts >= 1
 
 
 def test_a_head_reaches_everybody_also_after_a_cut():
@@ -171,7 +175,7 @@
     net.run(5)
     cut = {(a, b) for a in places for b in places if places[a] != places[b]}
     net.one_way_cut = cut
-    net.nodes["i0"].set_own(
+    net.nodes["i0"].set_local_state(
         now=net.now,
         loads=[],
         leaving=False,
@@ -180,7 +184,9 @@
     net.run(11)
     assert {net.nodes[n].head.number for n in _FIVE} == {9}
     assert net.nodes["j0"].head.number == 0
-    assert net.nodes["j0"].others("lm", net.now).engines == 2  # Only j1's.
+    assert (
+        net.nodes["j0"].load_of_others("lm", net.now).engines == 2
+    )  # Only j1's.
     net.one_way_cut = set()
     net.run(8)
     assert {node.head.number for node in net.nodes.values()} == {9}
@@ -189,7 +195,7 @@
 def test_a_leaving_instance_owns_nothing_more():
     net = _Net(_FIVE)
     net.run(3)
-    net.nodes["i1"].set_own(
+    net.nodes["i1"].set_local_state(
         now=net.now,
         loads=[],
         leaving=True,
@@ -197,14 +203,14 @@
     )
     net.run(4)
     assert net.statuses("i1") == {messages.Status.LEAVING}
-    assert "i1" not in net.nodes["i0"].near(net.now)
+    assert "i1" not in net.nodes["i0"].live_local_instances(net.now)
 
 
 def test_no_instance_sends_more_than_its_budget():
     net = _Net({f"i{i}": "a" for i in range(30)})
     sent = 0
     for node in net.nodes.values():
-        node._budget = budget.Budget(bytes_per_s=300.0)
+        node._budget = token_bucket.TokenBucket(bytes_per_s=300.0)
     original = net._carry
 
     def count(sender, to, message):
--- a/irisshelf/tests/test_neighbours.py
+++ b/irisshelf/tests/test_neighbours.py
@@ -6,7 +6,7 @@
 import pytest
 
 from irisshelf import boottime
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import listener
 from irisshelf.gateway.knowledge import neighbours
 from irisshelf.observe import decision_log
@@ -17,15 +17,15 @@
 
 
 def _member(name, data_centre="a"):
-    return roster.Member(
+    return membership.Member(
         name=name, address=f"10.0.0.1:{name}", data_centre=data_centre
     )
 
 
 def _roster(own, others, now=0.0):
-    made = roster.Roster(own=_member(own))
+    made = membership.Membership(own=_member(own))
     for name in others:
-        made.heard(_member(name), now)
+        made.record_alive(_member(name), now)
     return made
 
 
@@ -34,47 +34,47 @@
 
 
 def test_all_instances_agree_on_the_first():
-    found = {name: _roster(name, _others(name)).first(1.0) for name in _NAMES}
+    found = {name: _roster(name, _others(name)).leader(1.0) for name in _NAMES}
     (first,) = {name for name, whom in found.items() if whom is None}
     assert {whom.name for whom in found.values() if whom} == {first}
 
 
 @pytest.mark.parametrize("data_centre", ["a", "b"])
 def test_an_instance_alone_is_the_first(data_centre):
-    made = roster.Roster(own=_member("1"))
+    made = membership.Membership(own=_member("1"))
     if data_centre == "b":
         for name in _NAMES[2:]:
-            made.heard(_member(name, "b"), 0.0)
-    assert made.first(1.0) is None
+            made.record_alive(_member(name, "b"), 0.0)
+    assert made.leader(1.0) is None
 
 
 @pytest.mark.parametrize("how", ["left", "silent"])
 def test_a_lost_first_is_replaced(how):
-    name = next(n for n in _NAMES if _roster(n, _others(n)).first(1.0))
+    name = next(n for n in _NAMES if _roster(n, _others(n)).leader(1.0))
     made = _roster(name, _others(name))
-    first = made.first(1.0)
+    first = made.leader(1.0)
     now = 1.0
     if how == "left":
-        made.left(first.name)
+        made.remove(first.name)
     else:
-        now = roster.FORGET_S + 0.5
+        now = membership.EXPIRY_S + 0.5
         for other in _NAMES:
             if other not in (name, first.name):
-                made.heard(_member(other), now)
-    assert made.first(now) != first
+                made.record_alive(_member(other), now)
+    assert made.leader(now) != first
 
 
 def test_old_news_of_an_instance_does_not_keep_it():
     made = _roster("1", ["2"], now=0.0)
-    made.heard(_member("2"), -5.0)
+    made.record_alive(_member("2"), -5.0)
     assert [m.name for m, _ in made.members("a", 5.0)] == ["2"]
-    assert made.members("a", roster.FORGET_S + 0.1) == []
+    assert made.members("a", membership.EXPIRY_S + 0.1) == []
 
 
 def test_an_asker_is_told_of_its_own_data_centre_and_a_few_elsewhere():
     made = _roster("1", ["2", "3"])
     for name in _NAMES[4:]:
-        made.heard(_member(name, "b"), 0.0)
+        made.record_alive(_member(name, "b"), 0.0)
     told = [m.data_centre for m, _ in made.sample("a", 1.0, 2)]
     assert sorted(told) == ["a", "a", "a", "b", "b"]
 
@@ -96,7 +96,9 @@
         self._listener.start()
         self.address = f"127.0.0.1:{self._listener.port}"
         self.own = neighbours.Neighbours(
-            own=roster.Member(name=name, address=self.address, data_centre="a"),
+            own=membership.Member(
+                name=name, address=self.address, data_centre="a"
+            ),
             seeds=seeds,
             log=log,
             on_members=self.counts.append,
@@ -151,8 +153,8 @@
     assert asker.own.ask_any("/what") is None
     loop = gevent.spawn(asker.own.run)
     _wait(lambda: first.names() == ["2"])
-    gone = roster.Member(name="0", address="127.0.0.1:9", data_centre="a")
-    asker.own.roster.heard(gone, boottime.now())
+    gone = membership.Member(name="0", address="127.0.0.1:9", data_centre="a")
+    asker.own.roster.record_alive(gone, boottime.now())
     assert asker.own.ask_any("/what") is None
     first.own.answer_with("/what", lambda fields: b"this")
     assert asker.own.ask_any("/what") == b"this"
--- a/irisshelf/tests/test_outside_bytes.py
+++ b/irisshelf/tests/test_outside_bytes.py
@@ -22,7 +22,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import position
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import messages
 from irisshelf.gateway.knowledge import crash_gossip
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
@@ -393,8 +393,8 @@
         self.loads = []
         self.ends = []
         self._takers = {}
-        own = roster.Member(name="1", address="", data_centre="a")
-        members = roster.Roster(own=own)
+        own = membership.Member(name="1", address="", data_centre="a")
+        members = membership.Membership(own=own)
         fact_gossip.FactGossip(
             datagrams=self,
             roster=members,
--- a/irisshelf/tests/test_retry_budget.py
+++ b/irisshelf/tests/test_retry_budget.py
@@ -46,12 +46,12 @@
     """A third of a fleet, or all, lose sight of the others for 12 s."""
     sizes = [fleet_size.FleetSize(alone=False) for _ in range(size)]
     for one in sizes:
-        one.heard(size, 100.0)
+        one.record(size, 100.0)
     for one in sizes[: int(cut_share * size)]:
         for passed_s in range(1, 12):
-            one.heard(1, 100.0 + passed_s)
+            one.record(1, 100.0 + passed_s)
     shares = [
-        retry_budget.share_of_slack(430.0, one.count(112.0)) for one in sizes
+        retry_budget.share_of_slack(430.0, one.estimate(112.0)) for one in sizes
     ]
     assert sum(shares) <= 430.0
 
@@ -70,12 +70,12 @@
 def test_the_largest_count_of_the_last_minute_holds(heard, now, count):
     size = fleet_size.FleetSize(alone=False)
     for at_s, instances in heard:
-        size.heard(instances, at_s)
-    assert size.count(now) == count
+        size.record(instances, at_s)
+    assert size.estimate(now) == count
 
 
 def test_an_instance_that_has_nobody_to_ask_is_alone_until_one_is_heard_of():
     size = fleet_size.FleetSize(alone=True)
-    assert size.count(0.0) == 1
-    size.heard(3, 1.0)
-    assert size.count(2.0) == 3
+    assert size.estimate(0.0) == 1
+    size.record(3, 1.0)
+    assert size.estimate(2.0) == 3
--- a/irisshelf/tests/test_server_lives.py
+++ b/irisshelf/tests/test_server_lives.py
@@ -94,7 +94,7 @@
     key = directory.key_of(life.server_id)
     chooser = world.inst.servers.chooser("crew")
     for part in chooser.sent(_PROMPT, "another", world.inst.now()):
-        world.inst.servers.heard_fact(facts.PartHeld(server=key, part=part))
+        world.inst.servers.heard_fact(facts.PartCached(server=key, part=part))
     return lambda of: _holds(world, of)
 
 
--- a/irisshelf/tests/test_shared_watch.py
+++ b/irisshelf/tests/test_shared_watch.py
@@ -18,7 +18,7 @@
 from irisshelf.catalog import directory
 from irisshelf.catalog import freshness
 from irisshelf.catalog import position
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.coordination import shared_watch
 from irisshelf.coordination import table_watch
 from irisshelf.gateway import settings
@@ -123,10 +123,10 @@
         self.name = name
         # Each machine's steady clock runs from another moment.
         self._skew_s = play.rng.uniform(-500, 500)
-        self.member = roster_module.Member(
+        self.member = membership_module.Member(
             name=name, address=name, data_centre="a"
         )
-        self.roster = roster_module.Roster(own=self.member)
+        self.roster = membership_module.Membership(own=self.member)
         self.fresh = freshness.Freshness()
         self.watches = {t: table_watch.TableWatch() for t in feed.Table}
         self.log = shared_watch.ChangeLog()
@@ -171,7 +171,7 @@
         if number != self._turn[table]:
             return
         watch = self.watches[table]
-        until_s = watch.rests_until_s(self.role(), self.play.timing)
+        until_s = watch.updates_suffice_until_s(self.role(), self.play.timing)
         self._resting[table] = until_s > self.clock_s
         if self._resting[table]:
             # What the timer is late by in the worst case.
@@ -188,19 +188,19 @@
 
     def _ask(self, table):
         watch = self.watches[table]
-        hold_s = watch.hold_s(
+        hold_s = watch.long_poll_s(
             self.role(),
             self.play.timing,
-            alone_s=store_timing.hold_s(table, self.play.bounds),
+            standalone_s=store_timing.hold_s(table, self.play.bounds),
             now=self.clock_s,
         )
-        watch.asked()
+        watch.record_request()
         self._calling[table] = True
         self._turn[table] += 1
         number = self._turn[table]
         sent_s = self.clock_s
         after = watch.position
-        if table is _CATALOG and watch.reads_newest_alone(sent_s):
+        if table is _CATALOG and watch.should_read_snapshot(sent_s):
             after = None
 
         def reply(answer):
@@ -221,7 +221,7 @@
     def _fail(self, table, number):
         if number != self._turn[table]:
             return
-        self.watches[table].failed()
+        self.watches[table].record_failure()
         self.next_turn(table, self.play.rng.uniform(0.5, 1.5) * _BACKOFF_S)
         if table is _CATALOG and self._calling[_SERVERS]:
             # Its connection is reset, as it may be as dead.
@@ -232,18 +232,18 @@
             return
         watch = self.watches[table]
         if answer is None or (after and after.era != answer[1].era):
-            watch.forgotten()
+            watch.record_history_lost()
             self.next_turn(table)
             return
         news, where, store_s = answer
         whole = after is None
-        newest = watch.answered(where, self.clock_s, whole=whole)
+        newest = watch.record_response(where, self.clock_s, whole=whole)
         if table is _CATALOG and newest:
             self._take_versions(news, where, sent_s, store_s, whole)
         elif newest:
             if whole:
                 self.servers = {}
-                self.log.restart(where)
+                self.log.reset(where)
             self._change(news, where, logged=not whole)
         if self.role() is _Role.WATCHER and newest:
             self._tell(table, where, store_s)
@@ -271,7 +271,9 @@
         )
         brought = before is not None and self.version > before
         as_of_s = self.fresh.time_of(store_s, self.clock_s, where.era)
-        self.watches[_CATALOG].caught_up(as_of_s if brought else self.clock_s)
+        self.watches[_CATALOG].record_caught_up(
+            as_of_s if brought else self.clock_s
+        )
 
     def behind(self):
         """Whether the store lacks the configuration in force."""
@@ -282,10 +284,10 @@
             self.servers[name] = there
         if logged:
             changes = tuple(_change(*row[2]) for row in rows)
-            self.log.add(changes, where, self.clock_s)
+            self.log.append(changes, where, self.clock_s)
 
     def _tell(self, table, where, store_s):
-        update = self.log.update(store_s, self.clock_s)
+        update = self.log.build_update(store_s, self.clock_s)
         if table is _CATALOG:
             update = shared_watch.CatalogUpdate(
                 store_s=store_s, version=self.stored, position=where
@@ -301,23 +303,25 @@
         if isinstance(update, shared_watch.CatalogUpdate):
             table = _CATALOG
             watch = self.watches[table]
-            verdict = shared_watch.judge_catalog(
+            verdict = shared_watch.classify_catalog_update(
                 update, watch.position, self.stored
             )
             if verdict is _Verdict.CURRENT:
                 if not self.behind():
                     self.fresh.confirmed(as_of_s)
-                watch.follows_to(update.position)
+                watch.advance_to(update.position)
         else:
             table = _SERVERS
             watch = self.watches[table]
-            verdict = shared_watch.judge_servers(update, watch.position)
+            verdict = shared_watch.classify_servers_update(
+                update, watch.position
+            )
             if verdict is _Verdict.APPLY:
                 for change in update.changes:
                     self.servers[change.entry_id] = change.server is not None
-                self.log.add(update.changes, update.position, self.clock_s)
-                watch.follows_to(update.position)
-        self.watches[table].updated(as_of_s, update.position, verdict)
+                self.log.append(update.changes, update.position, self.clock_s)
+                watch.advance_to(update.position)
+        self.watches[table].record_update(as_of_s, update.position, verdict)
         if self._resting[table]:
             self._resting[table] = False
             self.next_turn(table)
@@ -373,7 +377,7 @@
 
     def watcher(self):
         """Returns the instance that the others take for the first."""
-        ranked = roster_module.rank(n.member for n in self.nodes.values())
+        ranked = membership_module.rank(n.member for n in self.nodes.values())
         return self.nodes[ranked[0].name]
 
     def _beat(self):
@@ -382,7 +386,7 @@
             for other in self.nodes.values():
                 well = self.now >= other.frozen_until_s
                 if well and not other.deaf and not node.deaf:
-                    node.roster.heard(other.member, node.clock_s)
+                    node.roster.record_alive(other.member, node.clock_s)
         self._check_ages()
         self.at(self.now + 1.0, self._beat)
 
@@ -451,7 +455,7 @@
         node.alive = False
         del self.nodes[node.name]
         for other in self.nodes.values():
-            other.roster.left(node.name)
+            other.roster.remove(node.name)
         self.at(self.now + span_s, lambda: self.start(node.name))
 
     def _cut(self, node, span_s):
@@ -536,26 +540,26 @@
     play.run_to(10.0)
     before = play.store.calls
     play.run_to(70.0)
-    watchers_own = 2 * 60.0 / play.timing.hold_s
+    watchers_own = 2 * 60.0 / play.timing.long_poll_s
     assert play.store.calls - before < 1.3 * watchers_own
     assert watchers_own <= 240
 
 
 @pytest.mark.parametrize(
     ("others", "role"),
-    [(0, _Role.ALONE), (6, _Role.ALONE), (7, None), (40, None)],
+    [(0, _Role.STANDALONE), (6, _Role.STANDALONE), (7, None), (40, None)],
 )
 def test_few_instances_ask_by_themselves(others, role):
     names = [f"n{number}" for number in range(others + 1)]
     found = []
     for name in names:
-        own = roster_module.Member(name=name, address=name, data_centre="a")
-        made = roster_module.Roster(own=own)
+        own = membership_module.Member(name=name, address=name, data_centre="a")
+        made = membership_module.Membership(own=own)
         for other in names:
-            member = roster_module.Member(
+            member = membership_module.Member(
                 name=other, address=other, data_centre="a"
             )
-            made.heard(member, 0.0)
+            made.record_alive(member, 0.0)
         found.append(shared_watch.role(made, 1.0))
     if role is not None:
         assert set(found) == {role}
@@ -586,7 +590,7 @@
     update = shared_watch.ServersUpdate(
         store_s=1.0, since=_at(10), position=_at(20)
     )
-    assert shared_watch.judge_servers(update, known) is verdict
+    assert shared_watch.classify_servers_update(update, known) is verdict
 
 
 @pytest.mark.parametrize(
@@ -608,68 +612,70 @@
     update = shared_watch.CatalogUpdate(
         store_s=1.0, version=7, position=_at(20)
     )
-    assert shared_watch.judge_catalog(update, known, stored) is verdict
+    assert (
+        shared_watch.classify_catalog_update(update, known, stored) is verdict
+    )
 
 
 def test_the_log_of_changes_is_bounded_and_says_where_it_begins():
     log = shared_watch.ChangeLog()
-    log.restart(_at(5))
+    log.reset(_at(5))
     for number in range(30):
         change = _change(f"s{number}", True)
-        log.add((change,), _at(6 + number), float(number) / 10)
-    update = log.update(1.0, 3.0)
+        log.append((change,), _at(6 + number), float(number) / 10)
+    update = log.build_update(1.0, 3.0)
     since = _at(35 - len(update.changes))
     assert (update.since, update.position) == (since, _at(35))
     assert 0 < len(update.changes) <= 16
-    assert log.update(1.0, 60.0).changes == ()
-    assert log.update(1.0, 60.0).since == _at(35)
+    assert log.build_update(1.0, 60.0).changes == ()
+    assert log.build_update(1.0, 60.0).since == _at(35)
 
 
 def test_a_position_that_moves_on_without_a_change_leaves_no_gap():
     """Each configuration moves it; readers asked the store each time."""
     log = shared_watch.ChangeLog()
-    log.restart(_at(5))
-    log.add((), _at(9), 0.0)
-    assert shared_watch.judge_servers(log.update(1.0, 0.1), _at(5)) is (
-        _Verdict.APPLY
-    )
-    log.add((_change("s1", True),), _at(12), 1.0)
+    log.reset(_at(5))
+    log.append((), _at(9), 0.0)
+    assert shared_watch.classify_servers_update(
+        log.build_update(1.0, 0.1), _at(5)
+    ) is (_Verdict.APPLY)
+    log.append((_change("s1", True),), _at(12), 1.0)
     for now in (1.1, 60.0):
-        update = log.update(1.0, now)
+        update = log.build_update(1.0, now)
         told = [change.entry_id for change in update.changes]
         known = _at(9) if told else _at(12)
-        assert shared_watch.judge_servers(update, known) is (
+        assert shared_watch.classify_servers_update(update, known) is (
             _Verdict.APPLY if told else _Verdict.CURRENT
         )
         behind = _Verdict.APPLY if told else _Verdict.FETCH
-        assert shared_watch.judge_servers(update, _at(5)) is behind
+        assert shared_watch.classify_servers_update(update, _at(5)) is behind
 
 
 def test_a_version_left_out_of_an_answer_is_read_anew():
     watch = table_watch.TableWatch()
-    watch.answered(_at(30), 1.0, whole=True)
-    watch.updated(2.0, _at(29), _Verdict.FETCH)
+    watch.record_response(_at(30), 1.0, whole=True)
+    watch.record_update(2.0, _at(29), _Verdict.FETCH)
     assert watch.position is None
 
 
 @pytest.mark.parametrize("revision", [10, 30, 50])
 def test_in_a_new_era_the_whole_table_is_read(revision):
     watch = table_watch.TableWatch()
-    watch.answered(_at(30, era=0), 1.0, whole=True)
-    watch.updated(2.0, _at(revision, era=1), _Verdict.FETCH)
+    watch.record_response(_at(30, era=0), 1.0, whole=True)
+    watch.record_update(2.0, _at(revision, era=1), _Verdict.FETCH)
     assert watch.position is None
     # The call that was under way brings changes of the era before.
-    assert not watch.answered(_at(60, era=0), 2.1, whole=False)
-    assert not watch.answered(_at(60, era=0), 2.2, whole=True)
+    assert not watch.record_response(_at(60, era=0), 2.1, whole=False)
+    assert not watch.record_response(_at(60, era=0), 2.2, whole=True)
     assert watch.position is None
-    assert watch.answered(_at(revision, era=1), 2.3, whole=True)
-    watch.updated(2.4, _at(70, era=0), _Verdict.FETCH)
+    assert watch.record_response(_at(revision, era=1), 2.3, whole=True)
+    watch.record_update(2.4, _at(70, era=0), _Verdict.FETCH)
     assert watch.position == _at(revision, era=1)
 
 
 def test_changes_of_what_is_not_known_any_more_are_left():
     watch = table_watch.TableWatch()
-    watch.answered(_at(30), 1.0, whole=True)
-    watch.forgotten()
-    assert not watch.answered(_at(31), 1.1, whole=False)
+    watch.record_response(_at(30), 1.0, whole=True)
+    watch.record_history_lost()
+    assert not watch.record_response(_at(31), 1.1, whole=False)
     assert watch.position is None
--- a/irisshelf/tests/test_store_updates.py
+++ b/irisshelf/tests/test_store_updates.py
@@ -10,7 +10,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import directory
 from irisshelf.catalog import position
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway import instance
 from irisshelf.gateway import settings
@@ -38,10 +38,10 @@
         log = decision_log.DecisionLog(instance=name, fd=self._fd)
         log.problem = lambda name, **fields: self.problems.append(name)
         self.datagrams = datagrams_module.Datagrams(address=_ANY, log=log)
-        self.member = roster_module.Member(
+        self.member = membership_module.Member(
             name=name, address=self.datagrams.address, data_centre="a"
         )
-        self.roster = roster_module.Roster(own=self.member)
+        self.roster = membership_module.Membership(own=self.member)
         self.updates = store_updates.Updates(
             datagrams=self.datagrams, roster=self.roster, log=log
         )
@@ -84,7 +84,7 @@
         for other in everyone:
             # From now on, whatever the test lasts.
             later_s = boottime.now() + 60.0
-            one.roster.heard(other.member, later_s)
+            one.roster.record_alive(other.member, later_s)
 
 
 def _wait(until):
@@ -163,7 +163,7 @@
     )
     pair[0].updates.tell(update)
     _wait(lambda: taken)
-    verdict = shared_watch.judge_servers(taken[0], _at(85))
+    verdict = shared_watch.classify_servers_update(taken[0], _at(85))
     assert verdict is shared_watch.Verdict.FETCH
 
 
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -18,7 +18,7 @@
 from irisshelf.catalog import directory
 from irisshelf.catalog import freshness
 from irisshelf.catalog import position
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway import instance
 from irisshelf.gateway import listener
@@ -56,7 +56,7 @@
         self.datagrams = datagrams_module.Datagrams(
             address="127.0.0.1:0", log=self.log
         )
-        self.member = roster_module.Member(
+        self.member = membership_module.Member(
             name=name,
             address=self.datagrams.address,
             data_centre="a",
@@ -139,7 +139,7 @@
         for other in everyone:
             # From now on, whatever the test lasts.
             later_s = boottime.now() + 60.0
-            one.neighbours.roster.heard(other.member, later_s)
+            one.neighbours.roster.record_alive(other.member, later_s)
 
 
 def _wait(until):
@@ -385,7 +385,7 @@
 def _ranked(count, links=()):
     widths = dict(enumerate(links))
     members = [
-        roster_module.Member(
+        membership_module.Member(
             name=f"n{n}",
             address="",
             data_centre="a",
@@ -395,9 +395,9 @@
     ]
     made = {}
     for own in members:
-        made[own.name] = roster_module.Roster(own=own)
+        made[own.name] = membership_module.Membership(own=own)
         for other in members:
-            made[own.name].heard(other, 0.0)
+            made[own.name].record_alive(other, 0.0)
     return made
 
 
@@ -417,7 +417,7 @@
 
 def test_wide_links_relay_first():
     rosters = _ranked(24, links=[10.0, 100.0, 10.0, 120.0])
-    first = {r.first(1.0).name for r in rosters.values() if r.first(1.0)}
+    first = {r.leader(1.0).name for r in rosters.values() if r.leader(1.0)}
     assert first <= {"n1", "n3"}
     assert len(first) == 1
     wide = {"n1", "n3"}
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.platform.stand_in import server
 from irisshelf.platform.stand_in import store
 from irisshelf.platform.stand_in import world
@@ -149,10 +149,10 @@
         if not fault.hits_first:
             return fault
         members = [
-            roster.Member(name=e.name, address=e.peers, data_centre="a")
+            membership.Member(name=e.name, address=e.peers, data_centre="a")
             for e in self.entries
         ]
-        first = roster.rank(members)[0].name
+        first = membership.rank(members)[0].name
         numbers = [e.number for e in self.entries if e.name == first]
         return dataclasses.replace(fault, target=numbers[0])
 
--- a/specs/claim_spec.py
+++ b/specs/claim_spec.py
@@ -29,7 +29,7 @@
 
     after_insert: Callable = claim.after_insert
     after_read: Callable = claim.after_read
-    insert: Callable = claim.insert
+    insert: Callable = claim.insert_write
     release_after_send: bool = False
     release_condition: bool = True
     max_version: int = MAX_VERSION
@@ -159,7 +159,7 @@
 def _release(world: World, index: int, name: str, rules: Rules) -> World:
     actor = world.actors[index]
     granted = claim.Granted(claim=actor.claim, version=actor.version)
-    made = claim.release(granted)
+    made = claim.release_write(granted)
     on_way = OnWay(
         instance=name,
         claim_id=actor.claim.claim_id,
@@ -298,7 +298,7 @@
 
 def _unconditional(made):
     """Broken: the last write wins."""
-    return dataclasses.replace(claim.insert(made), if_version=None)
+    return dataclasses.replace(claim.insert_write(made), if_version=None)
 
 
 MUTANTS = {
--- a/specs/fuzz.py
+++ b/specs/fuzz.py
@@ -222,7 +222,7 @@
         made = claim.Claim(row="row", claim_id="c")
         claim.after_read(made, result.Ok(row))
         head.decode(value)
-        state = lease.start(name="a", data_centre="d")
+        state = lease.initial_state(name="a", data_centre="d")
         lease.observe(state, result.Ok(row), 1.0)
 
     def _stamps(self) -> None:
@@ -307,23 +307,25 @@
         version=gossip_messages.VERSION,
         sender="a",
         data_centre="here",
-        wants_answer=True,
+        wants_reply=True,
         head=gossip_messages.HeadHint(number=3, object_key="bundles/3"),
         records=(
-            gossip_messages.Record(
+            gossip_messages.InstanceRecord(
                 name="a",
                 incarnation=5,
-                beat=7,
+                heartbeat=7,
                 leaving=False,
                 loads=(
                     gossip_messages.Load(
-                        service="lm", work=10.0, engines=2, full=(1,)
+                        service="lm", work=10.0, engines=2, full_engines=(1,)
                     ),
                 ),
             ),
         ),
         summaries=(
-            gossip_messages.Summary(data_centre="there", age_s=1.0, loads=()),
+            gossip_messages.LoadSummary(
+                data_centre="there", age_s=1.0, loads=()
+            ),
         ),
     )
 )
--- a/specs/head_spec.py
+++ b/specs/head_spec.py
@@ -171,7 +171,9 @@
     if isinstance(step, head.ReadBack):
         after = dataclasses.replace(operator, phase="reading")
     else:
-        told = {head.Won: "won", head.Lost: "lost"}.get(type(step), "no effect")
+        told = {head.Committed: "won", head.Superseded: "lost"}.get(
+            type(step), "no effect"
+        )
         after = dataclasses.replace(operator, phase="end", told=told)
     return _set(world, i, after)
 
@@ -180,7 +182,7 @@
     follower = rules.follower()
     follower.adopt(world.in_force)
     seen = head.Head(number=number, object_key=str(number))
-    if follower.see(seen):
+    if follower.observe(seen):
         follower.adopt(number)
     in_force = follower.in_force
     return dataclasses.replace(
@@ -231,14 +233,14 @@
 def _lost_is_won(wanted, answer):
     """Broken: no read-back."""
     if answer.is_err() and isinstance(answer.err_value, errors.Unavailable):
-        return head.Won(head=wanted)
+        return head.Committed(head=wanted)
     return head.after_submission(wanted, answer)
 
 
 def _lost_is_lost(wanted, answer):
     """Broken: a lost answer is reported as a lost race."""
     if answer.is_err() and isinstance(answer.err_value, errors.Unavailable):
-        return head.Lost(winner=wanted)
+        return head.Superseded(winner=wanted)
     return head.after_submission(wanted, answer)
 
 
@@ -254,7 +256,7 @@
 class _Forgetful(head.Follower):
     """Broken: takes whatever head it hears of."""
 
-    def see(self, seen: head.Head) -> bool:
+    def observe(self, seen: head.Head) -> bool:
         self._in_force = seen.number
         return False
 
--- a/specs/lease_spec.py
+++ b/specs/lease_spec.py
@@ -22,11 +22,11 @@
 MAX_VERSION = 2
 OLD = 3  # Ticks after which it makes no difference how old a thing is.
 TERMS = lease.Terms(
-    length_s=2,
-    renew_at=0.3,
-    clock_rate_difference=0.4,
-    longest_pause_s=1,
-    order_time_s=1,
+    duration_s=2,
+    renew_fraction=0.3,
+    max_clock_drift=0.4,
+    max_pause_s=1,
+    max_order_delay_s=1,
 )
 SKIP_EVERY = 4  # A slow clock misses one tick in this many.
 NOW = 0  # All times in the model are seen from now.
@@ -37,8 +37,8 @@
 class Rules:
     """The steps that broken variants replace."""
 
-    wants_write: Callable = lease.wants_write
-    write: Callable = lease.write
+    wants_write: Callable = lease.should_write
+    write: Callable = lease.build_write
     after_write: Callable = lease.after_write
     may_order: Callable = lease.may_order
 
@@ -83,8 +83,8 @@
 
     since_skip: int = SKIP_EVERY
     states: tuple[lease.State, ...] = (
-        lease.start(name="a", data_centre="d"),
-        lease.start(name="b", data_centre="d"),
+        lease.initial_state(name="a", data_centre="d"),
+        lease.initial_state(name="b", data_centre="d"),
     )
     row: Row | None = None
     write: OnWay | None = None
@@ -152,7 +152,7 @@
 
 def _time_steps(world: World):
     """Time goes on, unless an order must take effect first."""
-    latest = TERMS.order_time_s + TERMS.longest_pause_s
+    latest = TERMS.max_order_delay_s + TERMS.max_pause_s
     if any(-order.decided >= latest for order in world.orders):
         return
     orders = tuple(
@@ -185,18 +185,20 @@
     What lies so far back that it makes no difference any more is kept at the
     same distance, so that the model is finite.
     """
-    seen, held, pending_s = state.seen, state.held, state.pending_s
+    seen, held, pending_s = state.observed, state.held, state.write_sent_s
     if seen is not None:
         seen = dataclasses.replace(seen, since_s=max(-OLD, seen.since_s - 1))
     if held is not None:
         held = dataclasses.replace(
             held,
-            taken_s=max(-OLD, held.taken_s - 1),
-            until_s=max(0, held.until_s - 1),
+            acquired_s=max(-OLD, held.acquired_s - 1),
+            expires_s=max(0, held.expires_s - 1),
         )
     if pending_s is not None:
         pending_s = max(-OLD, pending_s - 1)
-    return dataclasses.replace(state, seen=seen, held=held, pending_s=pending_s)
+    return dataclasses.replace(
+        state, observed=seen, held=held, write_sent_s=pending_s
+    )
 
 
 def _actor_steps(world: World, i: int, name: str, rules: Rules, checks: bool):
@@ -207,7 +209,7 @@
         yield f"{name} reads", _set(world, i, seen)
     wants = rules.wants_write(state, terms=TERMS, now=now)
     busy = world.write is not None or world.answer is not None
-    if wants and not busy and state.pending_s is None:
+    if wants and not busy and state.write_sent_s is None:
         sent, made = rules.write(state, now=now)
         on_way = OnWay(
             actor=i,
@@ -217,7 +219,7 @@
         )
         after = dataclasses.replace(_set(world, i, sent), write=on_way)
         yield f"{name} sends a write", after
-    if state.pending_s is not None:
+    if state.write_sent_s is not None:
         made = _message(world.write) if world.write else _NO_WRITE
         lost = rules.after_write(
             state, made, result.Err(_LOST), terms=TERMS, now=now
@@ -228,7 +230,7 @@
     if _may(world, i, rules, checks=checks):
         order = OnWay(
             actor=i,
-            fence=state.held.fence,
+            fence=state.held.fencing_token,
             decided=NOW,
             if_version=int(checks),
         )
@@ -257,7 +259,7 @@
     without = dataclasses.replace(world, answer=None)
     yield f"answer to {NAMES[i]} is lost", without
     state = world.states[i]
-    if state.pending_s is None:
+    if state.write_sent_s is None:
         return
     if answered.version:
         answer = result.Ok((answered.version,))
@@ -326,7 +328,7 @@
     can only come from a broken variant.
     """
     held = world.states[1 - order.actor].held
-    return held is not None and held.fence == order.fence
+    return held is not None and held.fencing_token == order.fence
 
 
 def _set(world: World, i: int, state: lease.State) -> World:
@@ -359,38 +361,38 @@
 
 def _impatient(state, *, terms, now):
     """Broken: takes over without waiting the lease out."""
-    if state.seen is not None and state.held is None:
+    if state.observed is not None and state.held is None:
         return True
-    return lease.wants_write(state, terms=terms, now=now)
+    return lease.should_write(state, terms=terms, now=now)
 
 
 def _no_stretch(state, *, terms, now):
     """Broken: reckons with clocks of one rate."""
-    exact = dataclasses.replace(terms, clock_rate_difference=0)
-    if state.seen is None or state.held is not None:
-        return lease.wants_write(state, terms=exact, now=now)
-    absent = state.seen.version == messages.ABSENT
-    return absent or now - state.seen.since_s >= terms.length_s - 1
+    exact = dataclasses.replace(terms, max_clock_drift=0)
+    if state.observed is None or state.held is not None:
+        return lease.should_write(state, terms=exact, now=now)
+    absent = state.observed.version == messages.ABSENT
+    return absent or now - state.observed.since_s >= terms.duration_s - 1
 
 
 def _same_fence(state, *, now):
     """Broken: a new holder takes the old number over."""
-    after, made = lease.write(state, now=now)
-    if state.seen.version != messages.ABSENT and state.held is None:
-        value = {**made.value, "fence": state.seen.fence}
+    after, made = lease.build_write(state, now=now)
+    if state.observed.version != messages.ABSENT and state.held is None:
+        value = {**made.value, "fence": state.observed.fencing_token}
         made = dataclasses.replace(made, value=value)
     return after, made
 
 
 def _unconditional(state, *, now):
     """Broken: the last write wins."""
-    after, made = lease.write(state, now=now)
+    after, made = lease.build_write(state, now=now)
     return after, dataclasses.replace(made, if_version=None)
 
 
 def _from_answer(state, made, answer, *, terms, now):
     """Broken: counts the lease from the answer, not from the request."""
-    late = dataclasses.replace(state, pending_s=now)
+    late = dataclasses.replace(state, write_sent_s=now)
     return lease.after_write(late, made, answer, terms=terms, now=now)
 
 
