--- a/irisshelf/gateway/knowledge/table_relay.py
+++ b/irisshelf/gateway/knowledge/table_relay.py
@@ -189,7 +189,7 @@
     def _aged(
         self, server: directory.BackendServer, now: float
     ) -> directory.Change:
-        left_s = self._inst.eligible.cold.left_s(server.server_id, now)
+        left_s = self._inst.eligible.cold.remaining_s(server.server_id, now)
         aged = dataclasses.replace(server, cold_s=left_s)
         return directory.Change(entry_id=server.entry_id, server=aged)
 
--- a/irisshelf/gateway/requests/admission.py
+++ b/irisshelf/gateway/requests/admission.py
@@ -35,10 +35,10 @@
         priority=job.priority,
         team=job.team,
         objective_s=job.route.target_s,
-        left_s=job.until_s - now,
+        remaining_s=job.until_s - now,
     )
-    wait_s = service.wait_s(choice.load, choice.server.slots)
-    refusal = service.arrive(arrival, wait_s, now, full=choice.full)
+    wait_s = service.estimated_wait_s(choice.load, choice.server.slots)
+    refusal = service.admit(arrival, wait_s, now, full=choice.full)
     if refusal is not None:
         _log(inst, job, choice, refusal)
     return refusal
@@ -53,7 +53,7 @@
     to blame, not the load, and another try may find another one.
     """
     service = inst.servers.overload(choice.server.service)
-    wait_s = service.wait_s(choice.load, choice.server.slots)
+    wait_s = service.estimated_wait_s(choice.load, choice.server.slots)
     if not wait_s:
         return RETRY_SOON_S
     return service.retry_after_s(wait_s, inst.now())
@@ -74,6 +74,6 @@
         team=job.team,
         full=choice.full,
         wait_s=round(refusal.wait_s, 3),
-        accepted_s=round(refusal.accepted_s, 3),
+        accepted_s=round(refusal.max_wait_s, 3),
         retry_after_s=round(refusal.retry_after_s, 3),
     )
--- a/irisshelf/gateway/requests/attempt.py
+++ b/irisshelf/gateway/requests/attempt.py
@@ -11,8 +11,8 @@
 from irisshelf.gateway.requests import watched
 from irisshelf.routing import outcome
 from irisshelf.routing.direct import event_stream
-from irisshelf.routing.direct import server_book
 from irisshelf.routing.direct import server_choice
+from irisshelf.routing.direct import server_stats
 from irisshelf.transport import client
 from irisshelf.transport import errors
 from irisshelf.transport import server as caller_side
@@ -38,7 +38,7 @@
     def __init__(
         self,
         *,
-        seen: server_book.Seen,
+        seen: server_stats.Outcome,
         outcome: outcome.Outcome,
         detail: str,
         final: messages.Final | None = None,
@@ -118,10 +118,10 @@
             SendError: There is no answer that may be passed on, or not all.
         """
         server = self._choice.server
-        book = self._inst.servers.chooser(server.service).book
+        book = self._inst.servers.chooser(server.service).stats
         links = self._inst.servers.links
         links.begin(server, self._conn)
-        book.began(server.server_id, self._inst.now())
+        book.record_start(server.server_id, self._inst.now())
         keep_alive_s = None
         try:
             sent_s = self._inst.now()
@@ -131,7 +131,7 @@
                 self._inst.servers.reports.answered(server, sent_s)
             self._check(head)
             head_s = self._inst.now()
-            book.lasted(server.server_id, head_s - sent_s)
+            book.record_duration(server.server_id, head_s - sent_s)
             # A stream has its place at the server from its first event on; what
             # it waited before says how busy the server is, not how fast.
             began_s = sent_s
@@ -141,10 +141,10 @@
             else:
                 self._pass_whole(head)
             overload = self._inst.servers.overload(server.service)
-            overload.ended(self._inst.now() - began_s)
-            book.stayed(self._inst.now() - sent_s)
+            overload.record_service_time(self._inst.now() - began_s)
+            book.record_residence_time(self._inst.now() - sent_s)
         finally:
-            book.ended(server.server_id, self._inst.now())
+            book.record_end(server.server_id, self._inst.now())
             # A connection in the middle of an answer is not reusable and is
             # closed, so that the server stops working on it.
             links.put(server, self._conn, keep_alive_s)
@@ -211,15 +211,15 @@
             )
         if 200 <= head.status < 300:
             raise _unknown(
-                server_book.Seen.BROKEN,
+                server_stats.Outcome.BROKEN,
                 f"{head.status} without signature, id or plain body",
             )
         body = self._read_body()
         raise SendError(
             seen=(
-                server_book.Seen.FAILED
+                server_stats.Outcome.FAILED
                 if head.status >= 500
-                else server_book.Seen.WELL
+                else server_stats.Outcome.SUCCESS
             ),
             outcome=outcome.Outcome.UNKNOWN,
             detail=f"answered {head.status}",
@@ -228,7 +228,7 @@
             ),
         )
 
-    def _refusal(self, head: messages.AnswerHead) -> server_book.Seen:
+    def _refusal(self, head: messages.AnswerHead) -> server_stats.Outcome:
         """Tells whether a refusal speaks against the server.
 
         Not if it is full, wants rest, or is not the server that was meant.
@@ -242,8 +242,8 @@
             and head.status == _UNAVAILABLE
             and not head.report.rest_s
         ):
-            return server_book.Seen.TURNED_AWAY
-        return server_book.Seen.REFUSED
+            return server_stats.Outcome.TURNED_AWAY
+        return server_stats.Outcome.REFUSED
 
     def _read_body(self) -> bytes:
         parts = []
@@ -274,8 +274,8 @@
             if events:
                 self._begin(head)
                 self._caller.write(b"".join(event.data for event in events))
-        if splitter.rest:
-            raise _unknown(server_book.Seen.BROKEN, "ends within an event")
+        if splitter.pending:
+            raise _unknown(server_stats.Outcome.BROKEN, "ends within an event")
         self._begin(head)
         self._caller.end()
 
@@ -322,15 +322,17 @@
             that had rested may be to blame.
     """
     if isinstance(exc, errors.OutOfReachError):
-        return _unknown(server_book.Seen.UNREACHABLE, str(exc))
+        return _unknown(server_stats.Outcome.UNREACHABLE, str(exc))
     if isinstance(exc, errors.SilentError):
-        return _unknown(server_book.Seen.SILENT, str(exc))
+        return _unknown(server_stats.Outcome.SILENT, str(exc))
     stale = conn is not None and conn.rested_s >= _MAY_BE_STALE_S
-    return _unknown(server_book.Seen.BROKEN, str(exc), excuse=stale, cut=True)
+    return _unknown(
+        server_stats.Outcome.BROKEN, str(exc), excuse=stale, cut=True
+    )
 
 
 def _unknown(
-    seen: server_book.Seen,
+    seen: server_stats.Outcome,
     detail: str,
     *,
     excuse: bool = False,
--- a/irisshelf/gateway/requests/call.py
+++ b/irisshelf/gateway/requests/call.py
@@ -12,8 +12,8 @@
 from irisshelf.gateway.requests import sends as sends_module
 from irisshelf.routing import outcome
 from irisshelf.routing import suspects
-from irisshelf.routing.direct import server_book
 from irisshelf.routing.direct import server_choice
+from irisshelf.routing.direct import server_stats
 from irisshelf.transport import client
 from irisshelf.transport import server as caller_side
 
@@ -113,7 +113,7 @@
             patience_s=self._patience_s,
             leave=lambda: self._placement.replace(server, conn),
         ).run()
-        self._seen(server, server_book.Seen.WELL)
+        self._seen(server, server_stats.Outcome.SUCCESS)
         self._inst.crashes.served(self._job)
         return "served"
 
@@ -205,7 +205,7 @@
     def _seen(
         self,
         server: directory.BackendServer,
-        what: server_book.Seen,
+        what: server_stats.Outcome,
         detail: str = "",
     ) -> None:
         self._inst.servers.seen(server, what, self._job.ask.request_id, detail)
@@ -224,7 +224,7 @@
             mean_load=round(choice.mean_load, 1),
             load_age_s=_age(choice.report_age_s),
             source=choice.source.server_id if choice.source else "",
-            subject=self._job.ask.prompt.subject,
+            subject=self._job.ask.prompt.affinity_key,
             shared_tokens=self._job.ask.prompt.shared_tokens,
             rested_s=round(rested_s, 3),
             attempt=self._sends.count + 1,
--- a/irisshelf/gateway/requests/front.py
+++ b/irisshelf/gateway/requests/front.py
@@ -204,7 +204,7 @@
         """
         if len(route.split) == 1:
             return route.split[0].service
-        subject = ask.prompt.subject
+        subject = ask.prompt.affinity_key
         share = self._inst.rng.random()
         if subject:
             text = f"{route.name}/{subject}".encode()
--- a/irisshelf/gateway/requests/placement.py
+++ b/irisshelf/gateway/requests/placement.py
@@ -116,7 +116,7 @@
         """
         if not self._inst.eligible.accepts(server):
             return False
-        self._inst.eligible.availability.sent(
+        self._inst.eligible.availability.record_sent(
             server.server_id, self._inst.now()
         )
         return True
--- a/irisshelf/gateway/servers/eligibility.py
+++ b/irisshelf/gateway/servers/eligibility.py
@@ -167,7 +167,7 @@
         for change in changes:
             server = change.server
             if server is not None:
-                self.cold.told(server.server_id, server.cold_s, now)
+                self.cold.record_cold_time(server.server_id, server.cold_s, now)
 
     def evacuation_lifted(self, data_centre: str) -> None:
         """Takes that a data centre's servers may get requests again.
@@ -186,8 +186,8 @@
         bounds = self.cfg.bounds
         overage = bounds.cold_overage or 1.0
         return cold_start.Bounds(
-            per_s=known.cold_per_s,
-            most_in_a_second=(
+            requests_per_s=known.cold_per_s,
+            max_in_any_second=(
                 known.cold_per_s * overage + (bounds.cold_slack or 0.0)
             ),
         )
@@ -208,13 +208,15 @@
         Then it has become warm, or it is the turn of this instance.
         """
         now = self._now()
-        left_s = self.cold.left_s(server.server_id, now)
+        left_s = self.cold.remaining_s(server.server_id, now)
         bounds = self.cold_bounds(server.service)
         if bounds is None or not left_s:
             return 0.0
         if server.data_centre != self.cfg.data_centre:
             return left_s
-        turn_s = self.cold.turn_s(server.server_id, bounds, self.members(), now)
+        turn_s = self.cold.next_send_in_s(
+            server.server_id, bounds, self.members(), now
+        )
         return min(left_s, turn_s)
 
     def sent_to_cold(self, server: directory.BackendServer) -> None:
@@ -222,14 +224,14 @@
         bounds = self.cold_bounds(server.service)
         if bounds is not None:
             count = len(self.members())
-            self.cold.sent(server.server_id, bounds, count, self._now())
+            self.cold.record_sent(server.server_id, bounds, count, self._now())
 
     def assume_cold(self, server: directory.BackendServer) -> None:
         """Takes that a server may be cold, though it has not said so."""
         service = self.services.get(server.service)
         if service is not None:
             now = self._now()
-            self.cold.assume(server.server_id, service.cold_start_s, now)
+            self.cold.assume_cold(server.server_id, service.cold_start_s, now)
 
     def _block(
         self, server: directory.BackendServer
@@ -239,9 +241,9 @@
     def _pause_s(self, server: directory.BackendServer) -> float | None:
         block = self._block(server)
         ready = server.state is directory.ServerState.READY
-        if not ready or block is None or math.isinf(block.left_s):
+        if not ready or block is None or math.isinf(block.remaining_s):
             return None
-        return block.left_s
+        return block.remaining_s
 
     def _in_regions(
         self,
--- a/irisshelf/gateway/servers/reports.py
+++ b/irisshelf/gateway/servers/reports.py
@@ -77,7 +77,7 @@
             server: The server.
             sent_s: When the request was sent, monotonic seconds.
         """
-        if self._availability.answered(server.server_id, sent_s):
+        if self._availability.record_answer(server.server_id, sent_s):
             self._log.instance(
                 "server_accepts_again",
                 server=server.server_id,
@@ -85,19 +85,21 @@
             )
 
     def _absent(self, server: directory.BackendServer, request: str) -> None:
-        if self._availability.is_absent(server.server_id, self._now()):
+        if self._availability.mark_absent(server.server_id, self._now()):
             self._log_pause(server, "absent", request)
 
     def _leaving(self, server: directory.BackendServer, request: str) -> None:
-        if self._availability.leaves(server.server_id):
+        if self._availability.mark_leaving(server.server_id):
             self._log_pause(server, "leaving", request)
-            self._tell_pause(server, availability_module.LONGEST_TOLD_S)
+            self._tell_pause(server, availability_module.MAX_PEER_PAUSE_S)
 
     def _resting(
         self, server: directory.BackendServer, rest_s: float, request: str
     ) -> None:
         self._on_rest(server)
-        if self._availability.rests(server.server_id, rest_s, self._now()):
+        if self._availability.record_backoff(
+            server.server_id, rest_s, self._now()
+        ):
             self._log_pause(server, "resting", request, rest_s)
             self._tell_pause(server, rest_s)
 
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -22,8 +22,8 @@
 from irisshelf.routing import retry_budget
 from irisshelf.routing.direct import overload
 from irisshelf.routing.direct import prompt
-from irisshelf.routing.direct import server_book
 from irisshelf.routing.direct import server_choice
+from irisshelf.routing.direct import server_stats
 from irisshelf.transport import errors
 
 # For so long a server that is not listed any more is known to have left.
@@ -91,8 +91,8 @@
         self._left_s: dict[bytes, float] = {}
         self._choosers: dict[str, server_choice.Chooser] = {}
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
-        self._overloads: dict[str, overload.Overload] = collections.defaultdict(
-            overload.Overload
+        self._overloads: dict[str, overload.AdmissionControl] = (
+            collections.defaultdict(overload.AdmissionControl)
         )
 
     def isolated(self, services: Iterable[str]) -> bool:
@@ -121,7 +121,7 @@
             self._choosers[service] = found
         return found
 
-    def overload(self, service: str) -> overload.Overload:
+    def overload(self, service: str) -> overload.AdmissionControl:
         """Returns what admits requests to a service."""
         return self._overloads[service]
 
@@ -146,8 +146,8 @@
         """Takes a server's load, and tells other instances."""
         now = self._now()
         work = load.running + load.waiting
-        book = self.chooser(server.service).book
-        book.told(server.server_id, work=work, at_s=now)
+        book = self.chooser(server.service).stats
+        book.record_load_report(server.server_id, work=work, at_s=now)
         key = directory.key_of(server.server_id)
         self.tell(facts.ServerLoad(server=key, work=work, at_s=now))
 
@@ -156,7 +156,7 @@
     ) -> None:
         """Notes what a server has read by now, and tells other instances."""
         chooser = self.chooser(server.service)
-        fresh = chooser.sent(asked, server.server_id, self._now())
+        fresh = chooser.record_sent(asked, server.server_id, self._now())
         key = directory.key_of(server.server_id)
         for part in fresh:
             self.tell(facts.PartHeld(server=key, part=part))
@@ -170,8 +170,8 @@
     def _(self, fact: facts.PartHeld) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
-            held = self.chooser(server.service).holdings
-            held.heard(fact.part, server.server_id, self._now())
+            held = self.chooser(server.service).cache_locations
+            held.record_from_peer(fact.part, server.server_id, self._now())
 
     @heard_fact.register
     def _(self, fact: facts.ServerCold) -> None:
@@ -180,7 +180,7 @@
         if server is not None:
             now = self._now()
             left_s = fact.until_s - now
-            self.eligible.cold.assume(server.server_id, left_s, now)
+            self.eligible.cold.assume_cold(server.server_id, left_s, now)
 
     @heard_fact.register
     def _(self, fact: facts.ServerPause) -> None:
@@ -188,15 +188,19 @@
         if server is not None:
             now = self._now()
             left_s = fact.until_s - now
-            self.eligible.availability.told(server.server_id, left_s, now)
+            self.eligible.availability.record_peer_pause(
+                server.server_id, left_s, now
+            )
             self._rested(server)
 
     @heard_fact.register
     def _(self, fact: facts.ServerLoad) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
-            book = self.chooser(server.service).book
-            book.told(server.server_id, work=fact.work, at_s=fact.at_s)
+            book = self.chooser(server.service).stats
+            book.record_load_report(
+                server.server_id, work=fact.work, at_s=fact.at_s
+            )
 
     def tell_cold(self, changes: Iterable[directory.Change]) -> None:
         """Tells other instances of servers that the store says are cold."""
@@ -221,12 +225,12 @@
         }
         self._note_left(before.keys() - self._by_key.keys())
         for chooser in self._choosers.values():
-            chooser.book.keep(names)
-            chooser.full_loads.keep(names)
+            chooser.stats.retain(names)
+            chooser.load_limits.retain(names)
         self.links.keep(names)
         self.reach.keep(names)
-        self.eligible.cold.keep(names)
-        self.eligible.availability.keep(names, self._now())
+        self.eligible.cold.retain(names)
+        self.eligible.availability.retain(names, self._now())
         for name in self._ended_s.keys() - names:
             del self._ended_s[name]
         self._break_off_ended(servers)
@@ -260,8 +264,8 @@
 
     def heard(self, server: directory.BackendServer) -> None:
         """Takes that bytes have come from a server."""
-        book = self.chooser(server.service).book
-        book.heard(server.server_id, self._now())
+        book = self.chooser(server.service).stats
+        book.record_received(server.server_id, self._now())
 
     def ended_for_s(self, server: directory.BackendServer) -> float:
         """Returns for how long a server's process is known to have ended.
@@ -273,7 +277,9 @@
 
     def out_of_reach(self, server: directory.BackendServer) -> bool:
         """Tells whether a server was out of reach the last time."""
-        return self.chooser(server.service).book.unreachable(server.server_id)
+        return self.chooser(server.service).stats.is_unreachable(
+            server.server_id
+        )
 
     def unreachable(
         self,
@@ -282,7 +288,7 @@
         request: str,
     ) -> None:
         """Takes that no connection came about; asks for one from now on."""
-        what = server_book.Seen.UNREACHABLE
+        what = server_stats.Outcome.UNREACHABLE
         self.seen(server, what, request, str(exc))
         if not exc.silent:
             self._ended_s.setdefault(server.server_id, self._now())
@@ -308,10 +314,12 @@
 
     def _rested(self, server: directory.BackendServer) -> None:
         chooser = self.chooser(server.service)
-        chooser.full_loads.rests(server.server_id, self._now())
+        chooser.load_limits.record_backoff(server.server_id, self._now())
 
     def _heard_s(self, server: directory.BackendServer) -> float:
-        return self.chooser(server.service).book.heard_s(server.server_id)
+        return self.chooser(server.service).stats.last_received_s(
+            server.server_id
+        )
 
     def _reached(self, server: directory.BackendServer) -> None:
         self._metrics.connects.labels(server.service).inc()
@@ -326,8 +334,8 @@
             # Its process has started anew; its entry tells so a little later.
             del self._ended_s[server.server_id]
             self.eligible.assume_cold(server)
-        book = self.chooser(server.service).book
-        book.reached(server.server_id, self._now())
+        book = self.chooser(server.service).stats
+        book.record_connect(server.server_id, self._now())
 
     def _lost(
         self, server: directory.BackendServer, exc: errors.ConnectError
@@ -337,14 +345,14 @@
     def seen(
         self,
         server: directory.BackendServer,
-        what: server_book.Seen,
+        what: server_stats.Outcome,
         request: str,
         detail: str = "",
     ) -> None:
         """Takes what a request showed of a server."""
-        book = self.chooser(server.service).book
-        why = book.seen(server.server_id, what, self._now())
-        if what is not server_book.Seen.WELL:
+        book = self.chooser(server.service).stats
+        why = book.record_outcome(server.server_id, what, self._now())
+        if what is not server_stats.Outcome.SUCCESS:
             self._metrics.failures.labels(what.value).inc()
         if why:
             self._metrics.rests.labels(server.service).inc()
--- a/irisshelf/gateway/settings.py
+++ b/irisshelf/gateway/settings.py
@@ -113,7 +113,7 @@
     max_requests: _Count = 1000
     descriptors: _Count = 4096
     link_mbps: _NotNegative = 0.0
-    policy: policy.Policy = policy.ALL_ON
+    policy: policy.Policy = policy.DEFAULT
 
 
 def load(path: pathlib.Path) -> result.Result[Settings, str]:
--- a/irisshelf/platform/stand_in/world.py
+++ b/irisshelf/platform/stand_in/world.py
@@ -119,7 +119,7 @@
         servers: int = 2,
         bounds: settings.Bounds | None = None,
         configured: bool = True,
-        switched: policy.Policy = policy.ALL_ON,
+        switched: policy.Policy = policy.DEFAULT,
         data_centres: Sequence[str] = ("a",),
         places: Sequence[str] = ("a",),
         known_places: Sequence[str] = (),
--- a/irisshelf/routing/direct/availability.py
+++ b/irisshelf/routing/direct/availability.py
@@ -31,16 +31,16 @@
 # or written anew by then.
 _ABSENT_S = 1.0
 # How long what another instance has been told holds at the most.
-LONGEST_TOLD_S = 2.0
+MAX_PEER_PAUSE_S = 2.0
 
 
 class Reason(enum.StrEnum):
     """Why a server takes no request now."""
 
     LEAVING = "leaving"
-    RESTING = "resting"
+    BACKOFF = "resting"
     ABSENT = "absent"
-    TOLD = "told"
+    PEER = "told"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -49,11 +49,11 @@
 
     Attributes:
         reason: Why.
-        left_s: For how long; infinite if for good.
+        remaining_s: For how long; infinite if for good.
     """
 
     reason: Reason
-    left_s: float
+    remaining_s: float
 
 
 @dataclasses.dataclass(slots=True)
@@ -77,7 +77,7 @@
         )
         self._pauses: dict[str, _Pause] = {}
 
-    def leaves(self, server_id: str) -> bool:
+    def mark_leaving(self, server_id: str) -> bool:
         """Takes that a life leaves.
 
         Returns:
@@ -93,7 +93,7 @@
         """Tells whether a life has said that it leaves."""
         return server_id in self._leaving
 
-    def rests(self, server_id: str, rest_s: float, now: float) -> bool:
+    def record_backoff(self, server_id: str, rest_s: float, now: float) -> bool:
         """Takes that a server wants nothing for some time.
 
         Args:
@@ -106,9 +106,9 @@
         """
         spread_s = min(_SPREAD * rest_s, _LONGEST_SPREAD_S)
         until_s = now + rest_s + self._rng.uniform(0.0, spread_s)
-        return self._pause(server_id, Reason.RESTING, until_s, now)
+        return self._pause(server_id, Reason.BACKOFF, until_s, now)
 
-    def is_absent(self, server_id: str, now: float) -> bool:
+    def mark_absent(self, server_id: str, now: float) -> bool:
         """Takes that another server answers at a server's address.
 
         Returns:
@@ -117,45 +117,47 @@
         until_s = now + _ABSENT_S
         return self._pause(server_id, Reason.ABSENT, until_s, now)
 
-    def told(self, server_id: str, left_s: float, now: float) -> None:
+    def record_peer_pause(
+        self, server_id: str, remaining_s: float, now: float
+    ) -> None:
         """Takes what another instance says of a server.
 
         Args:
             server_id: The server.
-            left_s: For how long the server takes no request.
+            remaining_s: For how long the server takes no request.
             now: Time in seconds.
         """
-        if left_s > 0 and server_id not in self._pauses:
-            until_s = now + min(left_s, LONGEST_TOLD_S)
-            self._pause(server_id, Reason.TOLD, until_s, now)
+        if remaining_s > 0 and server_id not in self._pauses:
+            until_s = now + min(remaining_s, MAX_PEER_PAUSE_S)
+            self._pause(server_id, Reason.PEER, until_s, now)
 
     def block(self, server_id: str, now: float) -> Block | None:
         """Returns why a server takes no request; None if it takes one.
 
         Example:
             >>> known = Availability(rng=random.Random(1))
-            >>> known.block("i-1", 0.0) is None, known.leaves("i-1")
+            >>> known.block("i-1", 0.0) is None, known.mark_leaving("i-1")
             (True, True)
             >>> known.block("i-1", 0.0).reason
             <Reason.LEAVING: 'leaving'>
         """
         if server_id in self._leaving:
-            return Block(reason=Reason.LEAVING, left_s=math.inf)
+            return Block(reason=Reason.LEAVING, remaining_s=math.inf)
         pause = self._pauses.get(server_id)
         if pause is None:
             return None
         until_s = max(pause.until_s, pause.tried_s + _TRIAL_S)
         if now >= until_s:
             return None
-        return Block(reason=pause.reason, left_s=until_s - now)
+        return Block(reason=pause.reason, remaining_s=until_s - now)
 
-    def sent(self, server_id: str, now: float) -> None:
+    def record_sent(self, server_id: str, now: float) -> None:
         """Takes that a request goes to a server."""
         pause = self._pauses.get(server_id)
         if pause is not None:
             pause.tried_s = now
 
-    def answered(self, server_id: str, sent_s: float) -> bool:
+    def record_answer(self, server_id: str, sent_s: float) -> bool:
         """Takes that a server has answered, and asked for nothing.
 
         Args:
@@ -172,7 +174,7 @@
         del self._pauses[server_id]
         return True
 
-    def keep(self, names: frozenset[str], now: float) -> None:
+    def retain(self, names: frozenset[str], now: float) -> None:
         """Forgets pauses that are over of servers that are not listed any more.
 
         Entries come back, so that nothing else is forgotten with them.
--- a/irisshelf/routing/direct/holdings.py
+++ b/irisshelf/routing/direct/cache_locations.py
@@ -14,9 +14,9 @@
 
 # Parts that nobody used for so long may have given way, and the users do not
 # mind that they are read again after ten seconds.
-HELD_S = 15.0
+ENTRY_TTL_S = 15.0
 # A part that stays in use is told again so often.
-TELL_AGAIN_S = 5.0
+ANNOUNCE_INTERVAL_S = 5.0
 _MAX_PARTS = 20_000
 # In one fleet of twenty, two of 20,000 parts have the same key; a prompt then
 # has a source that serves nothing.
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Holding:
+class CacheEntry:
     """How a server holds a part.
 
     Attributes:
@@ -32,59 +32,61 @@
         used_s: When it was last sent.
     """
 
-    since_s: float
-    used_s: float
+    first_sent_s: float
+    last_sent_s: float
 
 
-class Holdings:
+class CacheLocations:
     """Servers by the parts that they hold."""
 
     def __init__(self):
-        self._held: collections.OrderedDict[bytes, dict[str, Holding]] = (
+        self._entries: collections.OrderedDict[bytes, dict[str, CacheEntry]] = (
             collections.OrderedDict()
         )
         self._told: dict[tuple[bytes, str], float] = {}
 
-    def mark(self, part: bytes, server_id: str, at_s: float) -> None:
+    def record(self, part: bytes, server_id: str, at_s: float) -> None:
         """Notes that a server has a part."""
-        servers = self._held.setdefault(part, {})
+        servers = self._entries.setdefault(part, {})
         known = servers.get(server_id)
         since_s = at_s
-        if known is not None and at_s - known.used_s <= HELD_S:
-            since_s = known.since_s
-        servers[server_id] = Holding(since_s=since_s, used_s=at_s)
-        self._held.move_to_end(part)
-        while len(self._held) > _MAX_PARTS:
-            self._held.popitem(last=False)
-
-    def is_new(self, part: bytes, server_id: str, now: float) -> bool:
+        if known is not None and at_s - known.last_sent_s <= ENTRY_TTL_S:
+            since_s = known.first_sent_s
+        servers[server_id] = CacheEntry(first_sent_s=since_s, last_sent_s=at_s)
+        self._entries.move_to_end(part)
+        while len(self._entries) > _MAX_PARTS:
+            self._entries.popitem(last=False)
+
+    def should_announce(self, part: bytes, server_id: str, now: float) -> bool:
         """Tells whether others should be told, and notes that they are."""
         last_s = self._told.get((part, server_id), float("-inf"))
-        if now - last_s < TELL_AGAIN_S:
+        if now - last_s < ANNOUNCE_INTERVAL_S:
             return False
         self._told[part, server_id] = now
         if len(self._told) > 2 * _MAX_PARTS:
             self._told = {
                 pair: at_s
                 for pair, at_s in self._told.items()
-                if now - at_s < TELL_AGAIN_S
+                if now - at_s < ANNOUNCE_INTERVAL_S
             }
         return True
 
-    def heard(self, part: bytes, server_id: str, at_s: float) -> None:
+    def record_from_peer(
+        self, part: bytes, server_id: str, at_s: float
+    ) -> None:
         """Takes what another instance tells, which need not be told again."""
-        self.mark(part, server_id, at_s)
+        self.record(part, server_id, at_s)
         self._told[part, server_id] = at_s
 
-    def holders(self, part: bytes, now: float) -> dict[str, Holding]:
+    def holders(self, part: bytes, now: float) -> dict[str, CacheEntry]:
         """Returns the servers that hold a part, or are reading it."""
         return {
             server_id: held
-            for server_id, held in self._held.get(part, {}).items()
-            if now - held.used_s <= HELD_S
+            for server_id, held in self._entries.get(part, {}).items()
+            if now - held.last_sent_s <= ENTRY_TTL_S
         }
 
 
-def key_of(part_id: str) -> bytes:
+def part_key(part_id: str) -> bytes:
     """Returns the short name of a part."""
     return hashlib.blake2b(part_id.encode(), digest_size=_KEY_BYTES).digest()
--- a/irisshelf/routing/direct/cold_start.py
+++ b/irisshelf/routing/direct/cold_start.py
@@ -41,12 +41,12 @@
 
     Attributes:
         per_s: Requests a second that it bears.
-        most_in_a_second: Requests that may reach it in any second, of all
+        max_in_any_second: Requests that may reach it in any second, of all
             instances together.
     """
 
-    per_s: float
-    most_in_a_second: float
+    requests_per_s: float
+    max_in_any_second: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -66,15 +66,17 @@
     """Returns the share of each sender among so many instances.
 
     Example:
-        >>> share(Bounds(per_s=2.0, most_in_a_second=8.0), 24)
+        >>> share(Bounds(requests_per_s=2.0, max_in_any_second=8.0), 24)
         Share(senders=4, interval_s=2.0)
     """
-    most = math.floor(bounds.most_in_a_second / _LISTS)
+    most = math.floor(bounds.max_in_any_second / _LISTS)
     senders = min(most, members)
-    if senders <= 0 or bounds.per_s <= 0:
+    if senders <= 0 or bounds.requests_per_s <= 0:
         return Share(senders=0, interval_s=math.inf)
     each_in_a_second = most // senders
-    interval_s = max(_APART_S / each_in_a_second, senders / bounds.per_s)
+    interval_s = max(
+        _APART_S / each_in_a_second, senders / bounds.requests_per_s
+    )
     return Share(senders=senders, interval_s=interval_s)
 
 
@@ -90,33 +92,37 @@
         self._until_s: dict[str, float] = {}
         self._next_s: dict[str, float] = {}
 
-    def told(self, server_id: str, left_s: float, now: float) -> None:
+    def record_cold_time(
+        self, server_id: str, remaining_s: float, now: float
+    ) -> None:
         """Takes how long a server stays cold, as it reports it.
 
         Args:
             server_id: The server.
-            left_s: 0 if it is not cold.
+            remaining_s: 0 if it is not cold.
             now: Time in seconds.
         """
-        if left_s <= 0:
+        if remaining_s <= 0:
             self._forget(server_id)
             return
         self._begin(server_id, now)
-        self._until_s[server_id] = now + left_s
+        self._until_s[server_id] = now + remaining_s
 
-    def assume(self, server_id: str, left_s: float, now: float) -> None:
+    def assume_cold(
+        self, server_id: str, remaining_s: float, now: float
+    ) -> None:
         """Takes that a server may be cold, though it has not said so."""
-        if left_s > 0:
+        if remaining_s > 0:
             self._begin(server_id, now)
             known_s = self._until_s.get(server_id, -math.inf)
-            self._until_s[server_id] = max(known_s, now + left_s)
+            self._until_s[server_id] = max(known_s, now + remaining_s)
 
-    def keep(self, names: frozenset[str]) -> None:
+    def retain(self, names: frozenset[str]) -> None:
         """Forgets servers that are not listed any more."""
         for name in self._until_s.keys() - names:
             self._forget(name)
 
-    def left_s(self, server_id: str, now: float) -> float:
+    def remaining_s(self, server_id: str, now: float) -> float:
         """Returns how long a server stays cold; 0 if it is not."""
         return max(0.0, self._until_s.get(server_id, -math.inf) - now)
 
@@ -128,14 +134,14 @@
         """Returns the servers that are warm and those that are cold."""
         if not self._until_s:
             return servers, ()
-        cold = [s for s in servers if self.left_s(s.server_id, now) > 0]
+        cold = [s for s in servers if self.remaining_s(s.server_id, now) > 0]
         if not cold:
             self._forget_warm(now)
             return servers, ()
         names = {server.server_id for server in cold}
         return [s for s in servers if s.server_id not in names], cold
 
-    def turn_s(
+    def next_send_in_s(
         self,
         server_id: str,
         bounds: Bounds,
@@ -159,7 +165,7 @@
             return math.inf
         return max(0.0, self._next_s.get(server_id, -math.inf) - now)
 
-    def sent(
+    def record_sent(
         self, server_id: str, bounds: Bounds, members: int, now: float
     ) -> None:
         """Takes that this instance sends a cold server a request."""
@@ -168,7 +174,7 @@
 
     def _begin(self, server_id: str, now: float) -> None:
         """Lets what was sent to a server while it was warm pass first."""
-        if not self.left_s(server_id, now):
+        if not self.remaining_s(server_id, now):
             self._next_s[server_id] = now + _APART_S
 
     def _forget_warm(self, now: float) -> None:
--- a/irisshelf/routing/direct/event_stream.py
+++ b/irisshelf/routing/direct/event_stream.py
@@ -34,7 +34,7 @@
         >>> splitter = Splitter()
         >>> [e.event_id for e in splitter.feed(b"id: 1\ndata: a\n\nid: 2")]
         [1]
-        >>> splitter.rest
+        >>> splitter.pending
         b'id: 2'
     """
 
@@ -42,7 +42,7 @@
         self._buffer = b""
 
     @property
-    def rest(self) -> bytes:
+    def pending(self) -> bytes:
         """The beginning of an event that is not whole yet."""
         return self._buffer
 
--- a/irisshelf/routing/direct/sources.py
+++ b/irisshelf/routing/direct/fetch_source.py
@@ -21,7 +21,7 @@
 from collections.abc import Sequence
 
 from irisshelf.catalog import directory
-from irisshelf.routing.direct import holdings
+from irisshelf.routing.direct import cache_locations
 from irisshelf.routing.direct import prompt
 from irisshelf.routing.direct import ranking
 
@@ -32,10 +32,10 @@
 # are taken to be half.
 _LIKELY = 0.5
 
-HoldersOf = Callable[[str], Mapping[str, holdings.Holding]]
+HoldersOf = Callable[[str], Mapping[str, cache_locations.CacheEntry]]
 
 
-class Way(enum.StrEnum):
+class Strategy(enum.StrEnum):
     """How a source is chosen."""
 
     KNOWN = "known"
@@ -43,7 +43,7 @@
 
 
 def choose(
-    way: Way,
+    way: Strategy,
     others: Sequence[directory.BackendServer],
     chosen: directory.BackendServer,
     asked: prompt.Prompt,
@@ -58,7 +58,7 @@
         asked: Its prompt.
         holders_of: Tells who is known to hold a part.
     """
-    if way is Way.KNOWN:
+    if way is Strategy.KNOWN:
         return _known(others, chosen, asked, holders_of)
     return _likely(others, chosen, asked, holders_of)
 
@@ -124,15 +124,17 @@
 
 def _longest_held(
     servers: Sequence[directory.BackendServer],
-    held: Mapping[str, holdings.Holding],
+    held: Mapping[str, cache_locations.CacheEntry],
 ) -> directory.BackendServer | None:
     """Returns who has held a part for longest: it has surely read it."""
     known = [s for s in servers if s.server_id in held]
-    return min(known, key=lambda s: held[s.server_id].since_s, default=None)
+    return min(
+        known, key=lambda s: held[s.server_id].first_sent_s, default=None
+    )
 
 
 def _home(
     servers: Sequence[directory.BackendServer], asked: prompt.Prompt
 ) -> directory.BackendServer | None:
-    ranked = ranking.rank(servers, asked.subject)
+    ranked = ranking.rank(servers, asked.affinity_key)
     return ranked[0] if ranked else None
--- a/irisshelf/routing/direct/full_load.py
+++ b/irisshelf/routing/direct/load_limits.py
@@ -17,13 +17,13 @@
 _MOST = 10.0
 
 
-class FullLoads:
+class LoadLimits:
     """Limits of the load of servers that have asked for rest."""
 
     def __init__(self):
         self._rested_s: dict[str, float] = {}
 
-    def rests(self, name: str, now: float) -> None:
+    def record_backoff(self, name: str, now: float) -> None:
         """Takes that a server asks for rest."""
         self._rested_s[name] = now
 
@@ -36,8 +36,8 @@
             now: Time in seconds.
 
         Example:
-            >>> loads = FullLoads()
-            >>> loads.rests("s-1", 100.0)
+            >>> loads = LoadLimits()
+            >>> loads.record_backoff("s-1", 100.0)
             >>> loads.limit("s-1", 4, 115.0), loads.limit("s-2", 4, 115.0)
             (6.0, inf)
         """
@@ -50,7 +50,7 @@
             return math.inf
         return times * max(1, slots)
 
-    def keep(self, names: frozenset[str]) -> None:
+    def retain(self, names: frozenset[str]) -> None:
         """Forgets servers that are not listed any more."""
         for name in self._rested_s.keys() - names:
             del self._rested_s[name]
--- a/irisshelf/routing/direct/overload.py
+++ b/irisshelf/routing/direct/overload.py
@@ -25,13 +25,13 @@
 
 # Of the shortest objective of the service's routes, the part that the most
 # urgent requests may wait for a place; the rest is for the way and the prompt.
-WAIT_SHARE = 0.6
+MAX_WAIT_SHARE = 0.6
 # Priorities and teams are served at least so often as all, by share. Half
 # leaves the order of priorities visible and is twice what the users' rule on
 # starved kinds and teams asks for.
-FLOOR = 0.5
+MIN_SERVED_RATIO = 0.5
 # A team may bring so many times its share before it gets free places only.
-SURGE = 3.0
+SURGE_FACTOR = 3.0
 # A team's share is an equal one at first; what it usually brings, if that is
 # more, counts fully after so many seconds.
 _USUAL_S = 300.0
@@ -62,13 +62,13 @@
         priority: Its rank, 0 is the most urgent.
         team: The team that it belongs to; empty on public routes.
         objective_s: Time to the first byte that its route aims at.
-        left_s: How long its caller still waits.
+        remaining_s: How long its caller still waits.
     """
 
     priority: int
     team: str
     objective_s: float
-    left_s: float
+    remaining_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -78,15 +78,15 @@
     Attributes:
         retry_after_s: When its caller should come back.
         wait_s: The wait that it would have found.
-        accepted_s: The longest wait that it might have found.
+        max_wait_s: The longest wait that it might have found.
     """
 
     retry_after_s: float
     wait_s: float
-    accepted_s: float
+    max_wait_s: float
 
 
-class Overload:
+class AdmissionControl:
     """Admission to one service by one instance."""
 
     def __init__(self):
@@ -101,12 +101,12 @@
         self._last_refused_s = -math.inf
         self._next_return_s = -math.inf
 
-    def ended(self, lasted_s: float) -> None:
+    def record_service_time(self, lasted_s: float) -> None:
         """Takes how long a request took a server's place."""
         step = lasted_s - self._duration_s
         self._duration_s += _DURATION_WEIGHT * step
 
-    def wait_s(self, load: float, slots: int) -> float:
+    def estimated_wait_s(self, load: float, slots: int) -> float:
         """Estimates how long one more request waits at a server.
 
         Args:
@@ -118,7 +118,7 @@
         waiting = max(0.0, load + 1 - slots)
         return waiting * self._duration_s / slots
 
-    def arrive(
+    def admit(
         self,
         arrival: Arrival,
         wait_s: float,
@@ -138,8 +138,8 @@
             None if it is to be sent.
         """
         self._count(arrival, now)
-        accepted_s = self._accepted_s(arrival, now)
-        admitted = not full and wait_s <= accepted_s
+        max_wait_s = self._max_wait_s(arrival, now)
+        admitted = not full and wait_s <= max_wait_s
         for key in _keys(arrival):
             self._served[key].add(admitted, now)
         if admitted:
@@ -147,7 +147,7 @@
         return Refusal(
             retry_after_s=self.retry_after_s(wait_s, now),
             wait_s=wait_s,
-            accepted_s=accepted_s,
+            max_wait_s=max_wait_s,
         )
 
     def retry_after_s(self, wait_s: float, now: float) -> float:
@@ -182,12 +182,12 @@
         self._usual.add(arrival.team, 1.0, now)
         self._now.add(arrival.team, 1.0, now)
 
-    def _accepted_s(self, arrival: Arrival, now: float) -> float:
+    def _max_wait_s(self, arrival: Arrival, now: float) -> float:
         """Returns the longest wait that a request may find.
 
         Who has been served too seldom gets in as the most urgent do.
         """
-        longest_s = min(self._objective_s * WAIT_SHARE, arrival.left_s)
+        longest_s = min(self._objective_s * MAX_WAIT_SHARE, arrival.remaining_s)
         if self._is_starved(arrival, now):
             return longest_s
         if self._surges(arrival.team, now):
@@ -202,10 +202,10 @@
         equal = 1 / self._usual.keys
         known = min(1.0, (now - self._first_s) / _USUAL_S)
         usual = known * self._usual.share(team)
-        return self._now.share(team) > SURGE * max(equal, usual)
+        return self._now.share(team) > SURGE_FACTOR * max(equal, usual)
 
     def _is_starved(self, arrival: Arrival, now: float) -> bool:
-        least = FLOOR * self._served[_ALL].share(now)
+        least = MIN_SERVED_RATIO * self._served[_ALL].share(now)
         return any(
             self._served[key].share(now) < least for key in _keys(arrival)
         )
--- a/irisshelf/routing/direct/policy.py
+++ b/irisshelf/routing/direct/policy.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-from irisshelf.routing.direct import sources
+from irisshelf.routing.direct import fetch_source
 from irisshelf.routing.direct import stale_load
 from irisshelf.routing.direct import unknown_speed
 
@@ -53,10 +53,10 @@
     shared_watch: bool = True
     turned_away: bool = True
     fresh_connections: bool = True
-    sources: sources.Way = sources.Way.LIKELY
-    stale_load: stale_load.Way = stale_load.Way.SPREAD
+    sources: fetch_source.Strategy = fetch_source.Strategy.LIKELY
+    stale_load: stale_load.Strategy = stale_load.Strategy.SPREAD
     full_loads: bool = True
-    unknown_speed: unknown_speed.Way = unknown_speed.Way.FASTEST
+    unknown_speed: unknown_speed.Strategy = unknown_speed.Strategy.FASTEST
 
 
-ALL_ON = Policy()
+DEFAULT = Policy()
--- a/irisshelf/routing/direct/prompt.py
+++ b/irisshelf/routing/direct/prompt.py
@@ -31,7 +31,7 @@
         return self.parts[:-1]
 
     @property
-    def subject(self) -> str:
+    def affinity_key(self) -> str:
         """Names what requests with the same shared parts have in common."""
         return self.parts[-2].part_id if len(self.parts) > 1 else ""
 
--- a/irisshelf/routing/direct/answer_time.py
+++ b/irisshelf/routing/direct/response_time.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from irisshelf.catalog import directory
-from irisshelf.routing.direct import server_book
+from irisshelf.routing.direct import server_stats
 from irisshelf.routing.direct import stale_load
 from irisshelf.routing.direct import unknown_speed
 
@@ -23,10 +23,10 @@
 
 def costs(
     servers: Sequence[directory.BackendServer],
-    book: server_book.ServerBook,
+    book: server_stats.ServerStats,
     *,
     data_centre: str,
-    way: unknown_speed.Way,
+    way: unknown_speed.Strategy,
     now: float,
 ) -> list[stale_load.Cost]:
     """Returns the expected times, in seconds.
@@ -39,10 +39,10 @@
         now: Time in seconds.
     """
     names = [server.server_id for server in servers]
-    times_s = unknown_speed.fill_in(
+    times_s = unknown_speed.fill_unknown(
         way,
         {name: book.duration_s(name) for name in names},
-        {name: book.own(name) for name in names},
+        {name: book.own_requests(name) for name in names},
     )
     fastest_s = min(times_s.values())
 
@@ -54,16 +54,16 @@
             each_s = fastest_s
         load = book.estimate(name, now)
         queued = (load.remaining + 1) / slots
-        penalty = 1 + _FAILURE_WEIGHT * book.bad_share(name)
+        penalty = 1 + _FAILURE_WEIGHT * book.failure_rate(name)
         far_s = _FAR_S if server.data_centre != data_centre else 0.0
         return stale_load.Cost(
             name=name,
             cost=(each_s * (1 + queued) + far_s) * penalty,
-            step=each_s / slots * penalty,
-            known=load.remaining,
+            marginal_cost=each_s / slots * penalty,
+            known_requests=load.remaining,
             sent=load.sent,
             ended=load.ended,
-            elsewhere=book.sends_elsewhere(name),
+            sends_to_others=book.sends_to_others(name),
         )
 
     return [cost(server) for server in servers]
--- a/irisshelf/routing/direct/server_choice.py
+++ b/irisshelf/routing/direct/server_choice.py
@@ -22,14 +22,14 @@
 from collections.abc import Sequence
 
 from irisshelf.catalog import directory
-from irisshelf.routing.direct import answer_time
-from irisshelf.routing.direct import full_load
-from irisshelf.routing.direct import holdings
+from irisshelf.routing.direct import cache_locations
+from irisshelf.routing.direct import fetch_source
+from irisshelf.routing.direct import load_limits
 from irisshelf.routing.direct import policy as policy_module
 from irisshelf.routing.direct import prompt
 from irisshelf.routing.direct import ranking
-from irisshelf.routing.direct import server_book
-from irisshelf.routing.direct import sources as sources_module
+from irisshelf.routing.direct import response_time
+from irisshelf.routing.direct import server_stats
 from irisshelf.routing.direct import stale_load
 
 # No server may hold more than this multiple of its service's mean and so many
@@ -43,13 +43,13 @@
 LOAD_EXTRA = 2.0
 LONG_LOAD_FACTOR = 1.75
 LONG_LOAD_EXTRA = 2.5
-LONG_TOKENS = 2000
+LONG_PREFIX_TOKENS = 2000
 # Where few servers take all, each is above a bound by the mean of all; they
 # keep to what is even among them, so that prompts still find their homes.
 _EVEN = 1.1
 # A server that was first sent a part so long ago has read it, and can hand it
 # on: the longest prompts, 30,000 tokens, take 0.6 s to read, more in company.
-READ_S = 1.0
+PREFILL_S = 1.0
 # A home in the caller's own data centre protects the answer in the making from
 # a cut between data centres, the more the longer the answer; it costs a copy of
 # the shared parts. It is made where a token of the answer protects no more than
@@ -107,14 +107,14 @@
         *,
         data_centre: str,
         rng: random.Random,
-        policy: policy_module.Policy = policy_module.ALL_ON,
+        policy: policy_module.Policy = policy_module.DEFAULT,
     ):
-        self.book = server_book.ServerBook(rests=policy.rests)
+        self.stats = server_stats.ServerStats(ejects=policy.rests)
         self._policy = policy
         self._data_centre = data_centre
         self._rng = rng
-        self.holdings = holdings.Holdings()
-        self.full_loads = full_load.FullLoads()
+        self.cache_locations = cache_locations.CacheLocations()
+        self.load_limits = load_limits.LoadLimits()
 
     def choose(
         self,
@@ -144,7 +144,7 @@
             return None
         fit = self._fit(ready, now)
         pool = fit or ready
-        if asked.subject:
+        if asked.affinity_key:
             choice = self._by_subject(pool, asked, sources, idle, now)
         else:
             choice = self._fastest(pool, now)
@@ -155,9 +155,9 @@
     def _fit(
         self, servers: Sequence[directory.BackendServer], now: float
     ) -> list[directory.BackendServer]:
-        return [s for s in servers if self.book.fit(s.server_id, now)]
+        return [s for s in servers if self.stats.is_available(s.server_id, now)]
 
-    def sent(
+    def record_sent(
         self, asked: prompt.Prompt, server_id: str, now: float
     ) -> list[bytes]:
         """Remembers that a server holds a prompt's shared parts.
@@ -165,22 +165,28 @@
         Returns:
             Keys of the parts that other instances should be told of.
         """
-        keys = [holdings.key_of(part.part_id) for part in asked.shared]
+        keys = [cache_locations.part_key(part.part_id) for part in asked.shared]
         for key in keys:
-            self.holdings.mark(key, server_id, now)
-        return [k for k in keys if self.holdings.is_new(k, server_id, now)]
+            self.cache_locations.record(key, server_id, now)
+        return [
+            k
+            for k in keys
+            if self.cache_locations.should_announce(k, server_id, now)
+        ]
 
     def _holders_of(
         self, part_id: str, now: float
-    ) -> dict[str, holdings.Holding]:
-        return self.holdings.holders(holdings.key_of(part_id), now)
+    ) -> dict[str, cache_locations.CacheEntry]:
+        return self.cache_locations.holders(
+            cache_locations.part_key(part_id), now
+        )
 
     def _reachable_holders(
         self,
         servers: Sequence[directory.BackendServer],
         part_id: str,
         now: float,
-    ) -> dict[str, holdings.Holding]:
+    ) -> dict[str, cache_locations.CacheEntry]:
         """Returns the holders of a part that can hand it on.
 
         Leaving ones can, and so can those that rest as they fail requests.
@@ -190,7 +196,7 @@
         return {
             name: one
             for name, one in held.items()
-            if name in listed and not self.book.unreachable(name)
+            if name in listed and not self.stats.is_unreachable(name)
         }
 
     def _by_subject(
@@ -201,11 +207,11 @@
         idle: Sequence[directory.BackendServer],
         now: float,
     ) -> Choice:
-        loads = self.book.loads([s.server_id for s in pool], now)
+        loads = self.stats.loads([s.server_id for s in pool], now)
         total = sum(loads.values())
-        total += sum(self.book.load(s.server_id, now) for s in idle)
+        total += sum(self.stats.load(s.server_id, now) for s in idle)
         mean = total / (len(loads) + len(idle))
-        held = self._reachable_holders(sources, asked.subject, now)
+        held = self._reachable_holders(sources, asked.affinity_key, now)
         ranked = self._by_preference(pool, asked, held, now)
         bound = self._load_bound(asked, loads, mean)
         server, reason = self._within(bound, ranked, held, loads, now)
@@ -231,7 +237,7 @@
         self,
         bound: float,
         ranked: Sequence[directory.BackendServer],
-        held: dict[str, holdings.Holding],
+        held: dict[str, cache_locations.CacheEntry],
         loads: dict[str, float],
         now: float,
     ) -> tuple[directory.BackendServer, Reason]:
@@ -246,17 +252,17 @@
         self,
         pool: Sequence[directory.BackendServer],
         asked: prompt.Prompt,
-        held: dict[str, holdings.Holding],
+        held: dict[str, cache_locations.CacheEntry],
         now: float,
     ) -> list[directory.BackendServer]:
         """Sorts servers as they are ranked, but the near home first.
 
         There is one once it can fetch the parts from somebody.
         """
-        ranked = ranking.rank(pool, asked.subject)
+        ranked = ranking.rank(pool, asked.affinity_key)
         home = None
         if self._policy.near_homes and any(
-            now - one.since_s >= READ_S for one in held.values()
+            now - one.first_sent_s >= PREFILL_S for one in held.values()
         ):
             home = _home(ranked, asked, self._data_centre)
         return sorted(ranked, key=lambda server: server is not home)
@@ -278,9 +284,9 @@
             s
             for s in servers
             if s.server_id != chosen.server_id
-            and not self.book.unreachable(s.server_id)
+            and not self.stats.is_unreachable(s.server_id)
         ]
-        return sources_module.choose(
+        return fetch_source.choose(
             self._policy.sources,
             others,
             chosen,
@@ -291,17 +297,17 @@
     def _fastest(
         self, pool: Sequence[directory.BackendServer], now: float
     ) -> Choice:
-        costs = answer_time.costs(
+        costs = response_time.costs(
             pool,
-            self.book,
+            self.stats,
             data_centre=self._data_centre,
             way=self._policy.unknown_speed,
             now=now,
         )
-        spreads = self._policy.stale_load is stale_load.Way.SPREAD
-        unseen = stale_load.unseen(costs) if spreads else 0.0
-        added = stale_load.spread(costs, unseen)
-        known = {one.name: one.known for one in costs}
+        spreads = self._policy.stale_load is stale_load.Strategy.SPREAD
+        unseen = stale_load.estimate_unreported(costs) if spreads else 0.0
+        added = stale_load.spread_unreported(costs, unseen)
+        known = {one.name: one.known_requests for one in costs}
         loads = {name: known[name] + added[name] for name in known}
         open_names = {
             server.server_id
@@ -316,14 +322,14 @@
             self._choice(server, Reason.FASTEST, loads[name], mean, now),
             # Nobody is refused for work that is only assumed, nor for a wait
             # that is shorter elsewhere.
-            load=min(self.book.loads(list(known), now).values()),
+            load=min(self.stats.loads(list(known), now).values()),
         )
 
     def _most(self, server: directory.BackendServer, now: float) -> float:
         """Returns how many requests a server may have."""
         if not self._policy.full_loads:
             return math.inf
-        return self.full_loads.limit(server.server_id, server.slots, now)
+        return self.load_limits.limit(server.server_id, server.slots, now)
 
     def _choice(
         self,
@@ -341,7 +347,7 @@
             load=load,
             mean_load=mean,
             full=load + 1 > self._most(server, now),
-            report_age_s=self.book.report_age_s(server.server_id, now),
+            report_age_s=self.stats.report_age_s(server.server_id, now),
             source=source,
         )
 
@@ -371,7 +377,7 @@
 
 
 def _bound(asked: prompt.Prompt, mean: float) -> float:
-    if asked.shared_tokens >= LONG_TOKENS:
+    if asked.shared_tokens >= LONG_PREFIX_TOKENS:
         return LONG_LOAD_FACTOR * mean + LONG_LOAD_EXTRA
     return LOAD_FACTOR * mean + LOAD_EXTRA
 
@@ -379,7 +385,7 @@
 def _reason(
     server: directory.BackendServer,
     place: int,
-    held: dict[str, holdings.Holding],
+    held: dict[str, cache_locations.CacheEntry],
 ) -> Reason:
     if server.server_id in held:
         return Reason.HELD
--- a/irisshelf/routing/direct/server_book.py
+++ b/irisshelf/routing/direct/server_stats.py
@@ -14,14 +14,14 @@
 
 # What a server said of its load fades, as the requests that it counted end:
 # answers last about a second. After three times that it says nothing.
-REPORT_FADE_S = 1.5
-REPORT_AGE_S = 4.5
+REPORT_DECAY_S = 1.5
+MAX_REPORT_AGE_S = 4.5
 # Changes of own requests that are remembered for a server.
 _MAX_CHANGES = 64
 # A server that misbehaves rests this long before one request tries it again;
 # doubled each time, up to the longest.
-FIRST_REST_S = 0.6
-LONGEST_REST_S = 4.0
+FIRST_EJECTION_S = 0.6
+MAX_EJECTION_S = 4.0
 # Weight of the newest outcome, and of the newest duration, in their averages.
 _OUTCOME_WEIGHT = 0.2
 _DURATION_WEIGHT = 0.2
@@ -34,14 +34,14 @@
 _IN_A_ROW = 3
 
 
-class Seen(enum.StrEnum):
+class Outcome(enum.StrEnum):
     """What came of a request that was sent to a server.
 
     A server that refuses is full; one that turns away has free places as far as
     is known, and answers so fast that it would draw more than its share.
     """
 
-    WELL = "well"
+    SUCCESS = "well"
     REFUSED = "refused"
     TURNED_AWAY = "turned_away"
     FAILED = "failed"
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Estimate:
+class LoadEstimate:
     """A server's load now, by what is known of it.
 
     Attributes:
@@ -87,26 +87,26 @@
     duration_s: float = 0.0
 
 
-class ServerBook:
+class ServerStats:
     """What is known of the servers of one service.
 
     Args:
-        rests: Whether servers that fail requests get none for a while.
+        ejects: Whether servers that fail requests get none for a while.
     """
 
-    def __init__(self, *, rests: bool = True):
-        self._rests = rests
+    def __init__(self, *, ejects: bool = True):
+        self._ejects = ejects
         self._servers: dict[str, _Server] = {}
         self._stay_s = 0.0
         self._sends = 0
 
-    def keep(self, names: frozenset[str]) -> None:
+    def retain(self, names: frozenset[str]) -> None:
         """Forgets servers that are not listed any more and have no work."""
         for name in [n for n in self._servers if n not in names]:
             if not self._servers[name].own:
                 del self._servers[name]
 
-    def began(self, name: str, now: float) -> None:
+    def record_start(self, name: str, now: float) -> None:
         """Counts a request that is sent."""
         server = self._get(name)
         server.own += 1
@@ -116,13 +116,13 @@
         server.changes.append((now, 1))
         server.trying = True
 
-    def ended(self, name: str, now: float) -> None:
+    def record_end(self, name: str, now: float) -> None:
         """Counts a request that does not run there any more."""
         server = self._get(name)
         server.own = max(0, server.own - 1)
         server.changes.append((now, -1))
 
-    def told(self, name: str, *, work: int, at_s: float) -> bool:
+    def record_load_report(self, name: str, *, work: int, at_s: float) -> bool:
         """Takes a server's report: requests that run or wait there.
 
         Args:
@@ -143,7 +143,7 @@
         )
         return True
 
-    def lasted(self, name: str, duration_s: float) -> None:
+    def record_duration(self, name: str, duration_s: float) -> None:
         """Takes how long a server took to answer, or to begin to."""
         server = self._get(name)
         if not server.duration_s:
@@ -152,7 +152,7 @@
         step = duration_s - server.duration_s
         server.duration_s += _DURATION_WEIGHT * step
 
-    def stayed(self, stay_s: float) -> None:
+    def record_residence_time(self, stay_s: float) -> None:
         """Takes how long a request was at a server, from sent to ended."""
         if not self._stay_s:
             self._stay_s = stay_s
@@ -162,11 +162,11 @@
         """Returns a server's average time to answer; 0 if not known."""
         return self._get(name).duration_s
 
-    def own(self, name: str) -> int:
+    def own_requests(self, name: str) -> int:
         """Returns how many requests of this instance run there."""
         return self._get(name).own
 
-    def sends_elsewhere(self, name: str) -> float:
+    def sends_to_others(self, name: str) -> float:
         """Returns own sends since the last to a server; infinite if none."""
         return self._sends - self._get(name).sent_as
 
@@ -185,27 +185,27 @@
         """
         server = self._get(name)
         age_s = now - server.told_s
-        if age_s > REPORT_AGE_S:
+        if age_s > MAX_REPORT_AGE_S:
             return server.own + otherwise
         since = sum(
             step for at_s, step in server.changes if at_s > server.told_s
         )
         left = (server.told + since) * math.exp(
-            -max(0.0, age_s) / REPORT_FADE_S
+            -max(0.0, age_s) / REPORT_DECAY_S
         )
         return max(float(server.own), left)
 
     def loads(self, names: list[str], now: float) -> dict[str, float]:
         """Estimates all loads; unknown ones from those that are known."""
         fresh = [
-            max(0.0, self.load(name, now) - self.own(name))
+            max(0.0, self.load(name, now) - self.own_requests(name))
             for name in names
-            if now - self._get(name).told_s <= REPORT_AGE_S
+            if now - self._get(name).told_s <= MAX_REPORT_AGE_S
         ]
         others = sum(fresh) / len(fresh) if fresh else 0.0
         return {name: self.load(name, now, otherwise=others) for name in names}
 
-    def estimate(self, name: str, now: float) -> Estimate:
+    def estimate(self, name: str, now: float) -> LoadEstimate:
         """Estimates what is left of the requests that are known of.
 
         Of those that a report counted, the share that has ended since follows
@@ -213,15 +213,15 @@
         """
         server = self._get(name)
         age_s = max(0.0, now - server.told_s)
-        left = server.told * math.exp(-age_s / (self._stay_s or REPORT_FADE_S))
+        left = server.told * math.exp(-age_s / (self._stay_s or REPORT_DECAY_S))
         sent = min(server.sent_since, server.own)
-        return Estimate(
+        return LoadEstimate(
             remaining=max(float(server.own), left + sent),
             sent=sent,
             ended=server.told - left,
         )
 
-    def seen(self, name: str, what: Seen, now: float) -> str:
+    def record_outcome(self, name: str, what: Outcome, now: float) -> str:
         """Takes what came of a request.
 
         Returns:
@@ -229,24 +229,24 @@
         """
         server = self._get(name)
         server.trying = False
-        if what is Seen.REFUSED:
+        if what is Outcome.REFUSED:
             return ""
-        good = what is Seen.WELL
+        good = what is Outcome.SUCCESS
         server.outcomes += 1
         server.bad += _OUTCOME_WEIGHT * ((0.0 if good else 1.0) - server.bad)
         server.in_a_row = 0 if good else server.in_a_row + 1
         if good:
             self._end_rest(server)
             return ""
-        if what is Seen.UNREACHABLE:
+        if what is Outcome.UNREACHABLE:
             return self._lose(server, now)
-        if server.in_a_row >= _IN_A_ROW and what is not Seen.FAILED:
+        if server.in_a_row >= _IN_A_ROW and what is not Outcome.FAILED:
             return self._rest(server, now, f"{server.in_a_row} in a row")
         if self._is_outlier(name, server):
             return self._rest(server, now, f"fails {server.bad:.2f}")
         return ""
 
-    def reached(self, name: str, now: float) -> None:
+    def record_connect(self, name: str, now: float) -> None:
         """Takes that a server accepts connections.
 
         That says nothing of its answers, so that it ends only a rest that a
@@ -257,19 +257,19 @@
         if server.unreachable:
             self._end_rest(server)
 
-    def unreachable(self, name: str) -> bool:
+    def is_unreachable(self, name: str) -> bool:
         """Tells whether a server was out of reach the last time."""
         return self._get(name).unreachable
 
-    def heard(self, name: str, now: float) -> None:
+    def record_received(self, name: str, now: float) -> None:
         """Takes that bytes have come from a server."""
         self._get(name).heard_s = now
 
-    def heard_s(self, name: str) -> float:
+    def last_received_s(self, name: str) -> float:
         """Returns when a server was last heard; minus infinity if never."""
         return self._get(name).heard_s
 
-    def fit(self, name: str, now: float) -> bool:
+    def is_available(self, name: str, now: float) -> bool:
         """Tells whether a server may get a request.
 
         One that is out of reach gets none until a connect has shown otherwise,
@@ -278,12 +278,12 @@
         """
         server = self._get(name)
         if server.unreachable:
-            return now - server.lost_s >= LONGEST_REST_S
+            return now - server.lost_s >= MAX_EJECTION_S
         if not server.rests:
             return True
         return now >= server.rest_until_s and not server.trying
 
-    def bad_share(self, name: str) -> float:
+    def failure_rate(self, name: str) -> float:
         """Returns a server's recent share of failures."""
         return self._get(name).bad
 
@@ -304,9 +304,9 @@
         server.rest_until_s = float("-inf")
 
     def _rest(self, server: _Server, now: float, why: str) -> str:
-        if now < server.rest_until_s or not self._rests:
+        if now < server.rest_until_s or not self._ejects:
             return ""
-        rest_s = min(LONGEST_REST_S, FIRST_REST_S * 2**server.rests)
+        rest_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**server.rests)
         server.rests += 1
         server.rest_until_s = now + rest_s
         return why
--- a/irisshelf/routing/direct/stale_load.py
+++ b/irisshelf/routing/direct/stale_load.py
@@ -29,7 +29,7 @@
 _EQUAL = 1e-6
 
 
-class Way(enum.StrEnum):
+class Strategy(enum.StrEnum):
     """How a server is chosen by old reports."""
 
     REPORTED = "reported"
@@ -53,14 +53,14 @@
 
     name: str
     cost: float
-    step: float
-    known: float = 0.0
+    marginal_cost: float
+    known_requests: float = 0.0
     sent: int = 0
     ended: float = 0.0
-    elsewhere: float = math.inf
+    sends_to_others: float = math.inf
 
 
-def unseen(costs: Sequence[Cost]) -> float:
+def estimate_unreported(costs: Sequence[Cost]) -> float:
     """Estimates how many requests others have sent since the reports.
 
     In a steady state as many come as end; own ones are known.
@@ -68,7 +68,9 @@
     return max(0.0, sum(one.ended - one.sent for one in costs))
 
 
-def level(costs: Sequence[float], steps: Sequence[float], more: float) -> float:
+def water_level(
+    costs: Sequence[float], steps: Sequence[float], more: float
+) -> float:
     """Returns the cost up to which further requests fill servers.
 
     Args:
@@ -77,7 +79,7 @@
         more: Number of the further requests.
 
     Example:
-        >>> level([1.0, 2.0], [1.0, 1.0], 3.0)
+        >>> water_level([1.0, 2.0], [1.0, 1.0], 3.0)
         3.0
     """
     ranked = sorted(zip(costs, steps, strict=True))
@@ -92,7 +94,7 @@
     return reached + left / taken_per_cost
 
 
-def spread(costs: Sequence[Cost], more: float) -> dict[str, float]:
+def spread_unreported(costs: Sequence[Cost], more: float) -> dict[str, float]:
     """Estimates how many of the unseen requests each server has got.
 
     Args:
@@ -102,10 +104,15 @@
     if not more:
         return dict.fromkeys((one.name for one in costs), 0.0)
     like_own = more / (sum(one.sent for one in costs) + _PRIOR)
-    raised = [one.cost + like_own * one.sent * one.step for one in costs]
-    highest = level(raised, [one.step for one in costs], like_own * _PRIOR)
+    raised = [
+        one.cost + like_own * one.sent * one.marginal_cost for one in costs
+    ]
+    highest = water_level(
+        raised, [one.marginal_cost for one in costs], like_own * _PRIOR
+    )
     return {
-        one.name: like_own * one.sent + max(0.0, (highest - cost) / one.step)
+        one.name: like_own * one.sent
+        + max(0.0, (highest - cost) / one.marginal_cost)
         for one, cost in zip(costs, raised, strict=True)
     }
 
@@ -126,13 +133,17 @@
     Returns:
         The server's name.
     """
-    totals = [one.cost + added[one.name] * one.step for one in costs]
+    totals = [one.cost + added[one.name] * one.marginal_cost for one in costs]
     least = min(totals)
     equal = [
         one
         for one, total in zip(costs, totals, strict=True)
-        if total <= least + _EQUAL * one.step
+        if total <= least + _EQUAL * one.marginal_cost
     ]
     return min(
-        equal, key=lambda one: (-one.elsewhere / one.step, rng.random())
+        equal,
+        key=lambda one: (
+            -one.sends_to_others / one.marginal_cost,
+            rng.random(),
+        ),
     ).name
--- a/irisshelf/routing/direct/unknown_speed.py
+++ b/irisshelf/routing/direct/unknown_speed.py
@@ -20,15 +20,15 @@
 _ANY_S = 1.0
 
 
-class Way(enum.StrEnum):
+class Strategy(enum.StrEnum):
     """What is assumed."""
 
     FIXED = "fixed"
     FASTEST = "fastest"
 
 
-def fill_in(
-    way: Way, times_s: Mapping[str, float], under_way: Mapping[str, int]
+def fill_unknown(
+    way: Strategy, times_s: Mapping[str, float], under_way: Mapping[str, int]
 ) -> dict[str, float]:
     """Returns the time that each server is expected to take.
 
@@ -38,11 +38,11 @@
         under_way: Requests of this instance that each has now.
 
     Example:
-        >>> fill_in(Way.FASTEST, {"a": 0.2, "b": 0.0}, {"a": 1, "b": 0})
+        >>> fill_unknown(Strategy.FASTEST, {"a": 0.2, "b": 0.0}, {"a": 1, "b": 0})
         {'a': 0.2, 'b': 0.2}
     """
     known_s = [time_s for time_s in times_s.values() if time_s]
-    if way is Way.FIXED:
+    if way is Strategy.FIXED:
         fastest_s = slowest_s = _FIXED_S
     else:
         fastest_s = min(known_s, default=_ANY_S)
--- a/irisshelf/testing/busy_service.py
+++ b/irisshelf/testing/busy_service.py
@@ -189,8 +189,10 @@
             )
             for number in range(load.instances)
         ]
-        self._books = [chooser.book for chooser in self._choosers]
-        self._gates = [overload.Overload() for _ in range(load.instances)]
+        self._books = [chooser.stats for chooser in self._choosers]
+        self._gates = [
+            overload.AdmissionControl() for _ in range(load.instances)
+        ]
         self._known = [
             availability.Availability(rng=random.Random(seed + number))
             for number in range(load.instances)
@@ -219,7 +221,7 @@
     def _tell(self) -> None:
         for book in self._books:
             for name, server in zip(self._names, self._servers, strict=True):
-                book.told(name, work=server.work, at_s=self._now)
+                book.record_load_report(name, work=server.work, at_s=self._now)
         if self._now < self._load.length_s:
             self._after(_TELL_S, self._tell)
 
@@ -247,9 +249,9 @@
         name = choice.server.server_id
         if self._admitting and self._is_refused(request, choice):
             return
-        known.sent(name, self._now)
+        known.record_sent(name, self._now)
         request = dataclasses.replace(request, sent_s=self._now)
-        book.began(name, self._now)
+        book.record_start(name, self._now)
         self._after(_WAY_S, lambda: self._reach(request, name))
 
     def _choice(self, instance: int, names: list[str]) -> server_choice.Choice:
@@ -289,20 +291,20 @@
             if self._load.callers_return:
                 known = self._known[request.instance]
                 blocks = [known.block(n, self._now) for n in self._names]
-                self._return(request, min(b.left_s for b in blocks))
+                self._return(request, min(b.remaining_s for b in blocks))
 
     def _is_refused(
         self, request: _Request, choice: server_choice.Choice
     ) -> bool:
         gate = self._gates[request.instance]
-        refusal = gate.arrive(
+        refusal = gate.admit(
             overload.Arrival(
                 priority=request.kind.priority,
                 team=request.team,
                 objective_s=request.kind.objective_s,
-                left_s=request.kind.patience_s,
+                remaining_s=request.kind.patience_s,
             ),
-            gate.wait_s(choice.load, self._load.slots),
+            gate.estimated_wait_s(choice.load, self._load.slots),
             self._now,
             full=choice.full,
         )
@@ -341,7 +343,7 @@
 
     def _turn_down(self, request: _Request, name: str, server: _Server) -> None:
         self._count(request, "turned_down")
-        self._books[request.instance].ended(name, self._now)
+        self._books[request.instance].record_end(name, self._now)
         if self._now >= server.rests_until_s:
             if not self._load.rests_when_full:
                 return
@@ -349,8 +351,12 @@
         server.in_rests[-1][request.instance].append(self._now)
         if self._heeding:
             left_s = server.rests_until_s - self._now
-            self._known[request.instance].rests(name, left_s, self._now)
-            self._choosers[request.instance].full_loads.rests(name, self._now)
+            self._known[request.instance].record_backoff(
+                name, left_s, self._now
+            )
+            self._choosers[request.instance].load_limits.record_backoff(
+                name, self._now
+            )
 
     def _begin_rest(self, server: _Server) -> None:
         server.rested_s = self._now
@@ -361,14 +367,14 @@
         while server.waiting and server.free:
             _, _, request = heapq.heappop(server.waiting)
             book = self._books[request.instance]
-            book.told(name, work=server.work + 1, at_s=self._now)
+            book.record_load_report(name, work=server.work + 1, at_s=self._now)
             waited_s = self._now - request.came_s
             if waited_s > request.kind.patience_s and not request.returning:
                 self._count(request, "left")
-                book.ended(name, self._now)
+                book.record_end(name, self._now)
                 continue
             known = self._known[request.instance]
-            known.answered(name, request.sent_s)
+            known.record_answer(name, request.sent_s)
             in_time = waited_s <= request.kind.objective_s
             self._count(request, "in_time" if in_time else "late")
             server.free -= 1
@@ -382,9 +388,9 @@
         server.free += 1
         server.running -= 1
         book = self._books[request.instance]
-        book.stayed(self._now - request.sent_s)
-        book.ended(name, self._now)
-        self._gates[request.instance].ended(request.kind.place_s)
+        book.record_residence_time(self._now - request.sent_s)
+        book.record_end(name, self._now)
+        self._gates[request.instance].record_service_time(request.kind.place_s)
         self._start(server, name)
 
     def _seen(self, request: _Request) -> tuple[Seen, Seen]:
--- a/irisshelf/testing/cold_fleet.py
+++ b/irisshelf/testing/cold_fleet.py
@@ -47,9 +47,9 @@
     def admits(self, members: tuple[str, ...], now: float) -> bool:
         """See ``Way.admits``."""
         starts, bounds = self._starts, self._bounds
-        if starts.turn_s(_SERVER, bounds, members, now) > 0:
+        if starts.next_send_in_s(_SERVER, bounds, members, now) > 0:
             return False
-        starts.sent(_SERVER, bounds, len(members), now)
+        starts.record_sent(_SERVER, bounds, len(members), now)
         return True
 
 
@@ -58,7 +58,7 @@
 
     def __init__(self, *, own: str, bounds: cold_start.Bounds):
         del own
-        self._per_s = bounds.per_s
+        self._per_s = bounds.requests_per_s
         self._next_s = -float("inf")
 
     def admits(self, members: tuple[str, ...], now: float) -> bool:
--- a/irisshelf/tests/test_availability.py
+++ b/irisshelf/tests/test_availability.py
@@ -29,19 +29,19 @@
 
 def _play(known, said):
     if said.what == "leaves":
-        known.leaves(_NAME)
+        known.mark_leaving(_NAME)
     elif said.what == "rests":
-        known.rests(_NAME, said.value, said.at_s)
+        known.record_backoff(_NAME, said.value, said.at_s)
     elif said.what == "absent":
-        known.is_absent(_NAME, said.at_s)
+        known.mark_absent(_NAME, said.at_s)
     elif said.what == "told":
-        known.told(_NAME, said.value, said.at_s)
+        known.record_peer_pause(_NAME, said.value, said.at_s)
     elif said.what == "sent":
-        known.sent(_NAME, said.at_s)
+        known.record_sent(_NAME, said.at_s)
     elif said.what == "answered":
-        known.answered(_NAME, said.value)
+        known.record_answer(_NAME, said.value)
     elif said.what == "gone":
-        known.keep(frozenset(), said.at_s)
+        known.retain(frozenset(), said.at_s)
     else:
         raise AssertionError(said.what)
 
@@ -75,36 +75,36 @@
         pytest.param(
             [_RESTS, _LEAVES], 9.0, _Reason.LEAVING, id="leaving-outlasts-rest"
         ),
-        pytest.param([_RESTS], 3.9, _Reason.RESTING, id="rests"),
+        pytest.param([_RESTS], 3.9, _Reason.BACKOFF, id="rests"),
         pytest.param([_RESTS], 4.0 + _SPREAD_S, None, id="rest-is-over"),
         pytest.param(
             [_RESTS, _said(2.0, "answered", 0.5)],
             3.9,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="an-answer-to-an-older-request-is-no-end-of-a-rest",
         ),
         pytest.param(
             [_RESTS, _said(2.0, "gone")],
             3.9,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="a-lapsed-entry-is-no-end-of-a-rest",
         ),
         pytest.param(
             [_RESTS, _said(2.0, "rests", 0.5)],
             3.9,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="a-shorter-rest-ends-none",
         ),
         pytest.param(
             [_RESTS, _said(2.0, "rests", 5.0)],
             6.9,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="a-longer-rest-goes-on",
         ),
         pytest.param(
             [_RESTS, _said(6.0, "sent")],
             6.1,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="one-request-at-a-time-after-a-rest",
         ),
         pytest.param(
@@ -116,7 +116,7 @@
         pytest.param(
             [_RESTS, _said(6.0, "sent"), _said(6.1, "rests", 3.0)],
             9.0,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="turned-down-after-a-rest",
         ),
         pytest.param(
@@ -130,7 +130,7 @@
             [_said(1.0, "absent")], 60.0, None, id="absent-for-a-time"
         ),
         pytest.param(
-            [_said(1.0, "told", 3.0)], 2.9, _Reason.TOLD, id="told-by-another"
+            [_said(1.0, "told", 3.0)], 2.9, _Reason.PEER, id="told-by-another"
         ),
         pytest.param(
             [_said(1.0, "told", 1e9)], 60.0, None, id="told-is-not-for-long"
@@ -138,13 +138,13 @@
         pytest.param(
             [_said(1.0, "told", 3.0), _said(2.0, "rests", 3.0)],
             4.9,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="its-own-statement-after-anothers",
         ),
         pytest.param(
             [_RESTS, _said(2.0, "told", 0.1)],
             3.9,
-            _Reason.RESTING,
+            _Reason.BACKOFF,
             id="another-ends-no-rest",
         ),
     ],
@@ -161,7 +161,7 @@
 def test_a_rest_is_never_shorter_than_asked():
     for seed in range(50):
         known = availability.Availability(rng=random.Random(seed))
-        known.rests(_NAME, 3.0, 1.0)
+        known.record_backoff(_NAME, 3.0, 1.0)
         assert known.block(_NAME, 3.999) is not None
         assert known.block(_NAME, 4.0 + _SPREAD_S) is None
 
@@ -170,15 +170,15 @@
     lefts = set()
     for seed in range(20):
         known = availability.Availability(rng=random.Random(seed))
-        known.rests(_NAME, 3.0, 1.0)
-        lefts.add(round(known.block(_NAME, 1.0).left_s, 2))
+        known.record_backoff(_NAME, 3.0, 1.0)
+        lefts.add(round(known.block(_NAME, 1.0).remaining_s, 2))
     assert len(lefts) > 10
 
 
 def test_many_lives_that_leave_are_not_kept_for_ever():
     known = _availability()
     for number in range(5000):
-        known.leaves(f"i-{number}")
+        known.mark_leaving(f"i-{number}")
     assert known.is_leaving("i-4999")
     assert not known.is_leaving("i-0")
 
--- a/irisshelf/tests/test_cold_start.py
+++ b/irisshelf/tests/test_cold_start.py
@@ -24,8 +24,8 @@
 
 Fault = server.Fault
 # What servers bear, and what may reach them in any second.
-_FAST = cold_start.Bounds(per_s=8.9, most_in_a_second=18.35)
-_SLOW = cold_start.Bounds(per_s=2.0, most_in_a_second=8.0)
+_FAST = cold_start.Bounds(requests_per_s=8.9, max_in_any_second=18.35)
+_SLOW = cold_start.Bounds(requests_per_s=2.0, max_in_any_second=8.0)
 _BOUNDS = [pytest.param(_FAST, id="8.9"), pytest.param(_SLOW, id="2")]
 _HOT = cold_fleet.Load(per_s=60.0, cold_s=8.0)
 
@@ -90,7 +90,7 @@
         for name in fleet.names
     }
     outcome = fleet.play(ways, _HOT)
-    assert outcome.worst_second <= bounds.most_in_a_second
+    assert outcome.worst_second <= bounds.max_in_any_second
 
 
 @pytest.mark.parametrize("bounds", _BOUNDS)
@@ -105,7 +105,7 @@
     # So many that each sender is asked whenever it is its turn.
     load = cold_fleet.Load(per_s=20.0 * count, cold_s=8.0)
     outcome = fleet.play(ways, load)
-    assert outcome.served * load.per_s >= 0.5 * bounds.per_s
+    assert outcome.served * load.per_s >= 0.5 * bounds.requests_per_s
 
 
 @pytest.mark.parametrize(
@@ -128,7 +128,7 @@
     view(fleet)
     ways = {name: make(own=name, bounds=bounds) for name in fleet.names}
     outcome = fleet.play(ways, _HOT)
-    assert outcome.worst_second > bounds.most_in_a_second
+    assert outcome.worst_second > bounds.max_in_any_second
 
 
 @pytest.mark.parametrize("bounds", _BOUNDS)
@@ -138,49 +138,49 @@
     assert share.senders <= members
     if share.senders:
         in_a_second = math.ceil(1.0 / share.interval_s)
-        assert 2 * share.senders * in_a_second <= bounds.most_in_a_second
+        assert 2 * share.senders * in_a_second <= bounds.max_in_any_second
         rate = share.senders / share.interval_s
-        assert rate <= bounds.per_s + 1e-9
+        assert rate <= bounds.requests_per_s + 1e-9
 
 
 @pytest.mark.parametrize(
     "bounds",
     [
-        cold_start.Bounds(per_s=0.0, most_in_a_second=0.0),
-        cold_start.Bounds(per_s=1.0, most_in_a_second=1.0),
+        cold_start.Bounds(requests_per_s=0.0, max_in_any_second=0.0),
+        cold_start.Bounds(requests_per_s=1.0, max_in_any_second=1.0),
     ],
 )
 def test_a_bound_that_leaves_nothing_to_share_out_gets_nothing(bounds):
     assert cold_start.share(bounds, 9).senders == 0
     starts = cold_start.ColdStarts(own="n1")
-    assert starts.turn_s("s", bounds, ("n1",), 0.0) == math.inf
+    assert starts.next_send_in_s("s", bounds, ("n1",), 0.0) == math.inf
 
 
 def test_the_first_waits_for_what_was_sent_while_the_server_was_warm():
     starts = cold_start.ColdStarts(own="n1")
-    starts.told("s", 3.0, 10.0)
-    assert starts.turn_s("s", _FAST, ("n1",), 10.0) > 1.0
-    starts.told("s", 1.9, 11.1)
-    assert starts.turn_s("s", _FAST, ("n1",), 11.2) == 0.0
+    starts.record_cold_time("s", 3.0, 10.0)
+    assert starts.next_send_in_s("s", _FAST, ("n1",), 10.0) > 1.0
+    starts.record_cold_time("s", 1.9, 11.1)
+    assert starts.next_send_in_s("s", _FAST, ("n1",), 11.2) == 0.0
 
 
 @pytest.mark.parametrize(
     ("words", "left_s"),
     [
-        ([("told", 3.0, 0.0)], 2.0),
-        ([("told", 0.0, 0.0)], 0.0),
-        ([("told", 3.0, 0.0), ("told", 0.0, 0.5)], 0.0),
-        ([("assume", 3.0, 0.0)], 2.0),
-        ([("told", 4.0, 0.0), ("assume", 1.0, 0.0)], 3.0),
-        ([("assume", 9.0, 0.0), ("told", 2.0, 0.5)], 1.5),
-        ([("told", 1.0, 0.0)], 0.0),
+        ([("record_cold_time", 3.0, 0.0)], 2.0),
+        ([("record_cold_time", 0.0, 0.0)], 0.0),
+        ([("record_cold_time", 3.0, 0.0), ("record_cold_time", 0.0, 0.5)], 0.0),
+        ([("assume_cold", 3.0, 0.0)], 2.0),
+        ([("record_cold_time", 4.0, 0.0), ("assume_cold", 1.0, 0.0)], 3.0),
+        ([("assume_cold", 9.0, 0.0), ("record_cold_time", 2.0, 0.5)], 1.5),
+        ([("record_cold_time", 1.0, 0.0)], 0.0),
     ],
 )
 def test_how_long_a_server_is_cold(words, left_s):
     starts = cold_start.ColdStarts(own="n1")
     for what, given_s, now in words:
         getattr(starts, what)("s", given_s, now)
-    assert starts.left_s("s", 1.0) == left_s
+    assert starts.remaining_s("s", 1.0) == left_s
 
 
 # Whether an instance counts itself among those that share something out.
@@ -254,7 +254,7 @@
     cold = world.inst.eligible.cold
     world.wait(
         lambda: all(
-            bool(cold.left_s(one.server_id, world.inst.now())) is bool(ms)
+            bool(cold.remaining_s(one.server_id, world.inst.now())) is bool(ms)
             for one in servers
         )
     )
@@ -317,7 +317,7 @@
     world.wait(lambda: not world.inst.evacuations.now())
     cold = world.inst.eligible.cold
     for one in world.inst.directory.servers():
-        left_s = cold.left_s(one.server_id, world.inst.now())
+        left_s = cold.remaining_s(one.server_id, world.inst.now())
         assert (left_s > 2.0) is (one.data_centre == "a")
 
 
@@ -332,7 +332,7 @@
         cold_world.ask("/alarm/1")
     cold_world.wait(lambda: not cold_world.inst.servers.out_of_reach(listed))
     cold = cold_world.inst.eligible.cold
-    assert cold.left_s(one.server_id, cold_world.inst.now()) > 2.0
+    assert cold.remaining_s(one.server_id, cold_world.inst.now()) > 2.0
 
 
 @pytest.mark.parametrize("cold_ms", [-1, "soon", 10**9])
@@ -379,7 +379,7 @@
     )
     cold_world.inst.servers.heard_fact(fact)
     cold = cold_world.inst.eligible.cold
-    left_s = cold.left_s(listed.server_id, cold_world.inst.now())
+    left_s = cold.remaining_s(listed.server_id, cold_world.inst.now())
     assert 1.9 < left_s <= 2.0
 
 
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -193,7 +193,7 @@
         data_centre="a",
         store=fleet.store.address,
         bounds=settings.Bounds(),
-        switched=policy.ALL_ON,
+        switched=policy.DEFAULT,
     )
     fleet.wait(lambda: _stages(fleet) == ["barred"] * 4)
     answers = [None, fleet.entries[1].crash_gossip.all()]
--- a/irisshelf/tests/test_sources.py
+++ b/irisshelf/tests/test_fetch_source.py
@@ -10,12 +10,12 @@
 import pytest
 
 from irisshelf.catalog import directory
-from irisshelf.routing.direct import holdings
+from irisshelf.routing.direct import cache_locations
+from irisshelf.routing.direct import fetch_source
 from irisshelf.routing.direct import prompt
 from irisshelf.routing.direct import ranking
-from irisshelf.routing.direct import sources
 
-_KNOWN, _LIKELY = sources.Way.KNOWN, sources.Way.LIKELY
+_KNOWN, _LIKELY = fetch_source.Strategy.KNOWN, fetch_source.Strategy.LIKELY
 _SERVERS = [
     directory.BackendServer(
         server_id=f"s{number}",
@@ -43,13 +43,15 @@
 
     def holders_of(part_id):
         return {
-            name: holdings.Holding(since_s=since_s, used_s=since_s)
+            name: cache_locations.CacheEntry(
+                first_sent_s=since_s, last_sent_s=since_s
+            )
             for name, since_s in known.get(part_id, {}).items()
         }
 
     by_name = {server.server_id: server for server in _SERVERS}
     others = [s for s in _SERVERS if s.server_id != chosen]
-    found = sources.choose(way, others, by_name[chosen], asked, holders_of)
+    found = fetch_source.choose(way, others, by_name[chosen], asked, holders_of)
     return found.server_id if found else None
 
 
@@ -127,9 +129,9 @@
     assert _choose(_LIKELY, chosen, asked, known) == by_likely
 
 
-@pytest.mark.parametrize("way", list(sources.Way))
+@pytest.mark.parametrize("way", list(fetch_source.Strategy))
 def test_without_others_there_is_nobody(way):
-    found = sources.choose(
+    found = fetch_source.choose(
         way, [], _SERVERS[0], _asked(500, 9000), lambda part_id: {}
     )
     assert found is None
@@ -161,7 +163,7 @@
         place = 0 if rng.random() < 0.8 else rng.randrange(1, 3)
         chosen = ranking.rank(_SERVERS, subject)[place]
         others = [s for s in _SERVERS if s != chosen]
-        source = sources.choose(
+        source = fetch_source.choose(
             way, others, chosen, asked, lambda part: known.get(part, {})
         )
         has = truth[chosen.server_id]
@@ -174,7 +176,9 @@
             has.add(part.part_id)
             heard = part.part_id.startswith("short") or rng.random() < 0.3
             if heard:
-                held = holdings.Holding(since_s=turn, used_s=turn)
+                held = cache_locations.CacheEntry(
+                    first_sent_s=turn, last_sent_s=turn
+                )
                 known.setdefault(part.part_id, {})[chosen.server_id] = held
         if rng.random() < 0.02:
             # Memory is short: a part gives way.
--- a/irisshelf/tests/test_gateway_faults.py
+++ b/irisshelf/tests/test_gateway_faults.py
@@ -5,7 +5,7 @@
 
 from irisshelf.platform.stand_in import server
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing.direct import server_book
+from irisshelf.routing.direct import server_stats
 
 Fault = server.Fault
 _ALL_EVENTS = b"".join(
@@ -238,8 +238,8 @@
     """Leaving it for one out of reach would only lose its answer."""
     busy, lost = world.plain
     busy.always = Fault.SLOW
-    world.inst.servers.chooser("crew").book.seen(
-        lost.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+    world.inst.servers.chooser("crew").stats.record_outcome(
+        lost.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
     )
     lost.close()
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
@@ -250,8 +250,8 @@
     for _ in range(4):
         world.ask("/valve/1", method="GET", body=b"")
     for one in world.plain:
-        world.inst.servers.chooser("crew").book.seen(
-            one.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+        world.inst.servers.chooser("crew").stats.record_outcome(
+            one.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
         )
         one.close()
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
@@ -262,8 +262,8 @@
 def test_an_instance_that_reaches_no_server_is_not_ready(world, lost):
     servers = [*world.plain, *world.engines]
     for one in servers if lost == "all" else servers[1:]:
-        world.inst.servers.chooser(one.service).book.seen(
-            one.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+        world.inst.servers.chooser(one.service).stats.record_outcome(
+            one.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
         )
         one.close()
     assert world.inst.ready is (lost == "some")
@@ -275,8 +275,8 @@
 def test_one_last_resort_is_tried_and_no_more(monkeypatch):
     world = world_module.World(servers=4)
     for one in world.plain:
-        world.inst.servers.chooser("crew").book.seen(
-            one.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+        world.inst.servers.chooser("crew").stats.record_outcome(
+            one.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
         )
         one.close()
     tried = []
@@ -298,8 +298,8 @@
 def test_the_only_server_that_is_fit_is_asked_again(world):
     only, lost = world.plain
     only.faults.append(Fault.FAIL)
-    world.inst.servers.chooser("crew").book.seen(
-        lost.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+    world.inst.servers.chooser("crew").stats.record_outcome(
+        lost.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
     )
     lost.close()
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
--- a/irisshelf/tests/test_gateway_overload.py
+++ b/irisshelf/tests/test_gateway_overload.py
@@ -9,9 +9,11 @@
 
 def _tell(world, work):
     """Has every engine say how many requests it has, of 64 at a time."""
-    book = world.inst.servers.chooser("lm").book
+    book = world.inst.servers.chooser("lm").stats
     for engine in world.engines:
-        book.told(engine.server_id, work=work, at_s=world.inst.now())
+        book.record_load_report(
+            engine.server_id, work=work, at_s=world.inst.now()
+        )
 
 
 @pytest.mark.parametrize("target", ["/digest/1", "/query/1"])
--- a/irisshelf/tests/test_gateway_settings.py
+++ b/irisshelf/tests/test_gateway_settings.py
@@ -138,5 +138,5 @@
     events = [e for piece in pieces for e in splitter.feed(piece)]
     assert [e.event_id for e in events] == ids
     whole = b"".join(e.data for e in events)
-    assert whole + splitter.rest == b"".join(pieces)
-    assert splitter.rest == rest
+    assert whole + splitter.pending == b"".join(pieces)
+    assert splitter.pending == rest
--- a/irisshelf/tests/test_leaving_and_resting.py
+++ b/irisshelf/tests/test_leaving_and_resting.py
@@ -258,7 +258,7 @@
     def limits():
         listed = _listed(world, one)
         return [
-            entry.inst.servers.chooser(listed.service).full_loads.limit(
+            entry.inst.servers.chooser(listed.service).load_limits.limit(
                 listed.server_id, listed.slots, boottime.now()
             )
             for entry in world.entries
@@ -300,7 +300,7 @@
                     if server.address == address:
                         left.append(server.server_id)
                         availability = world.inst.eligible.availability
-                        availability.leaves(server.server_id)
+                        availability.mark_leaving(server.server_id)
             return conn
 
         monkeypatch.setattr(placement.client, "connect", connect_slowly)
--- a/irisshelf/tests/test_overload.py
+++ b/irisshelf/tests/test_overload.py
@@ -120,7 +120,7 @@
         for seen in (burst[0].by_kind[k] for k in ("chat", "report", "label"))
     ]
     assert served[0] >= max(served[1:])
-    assert min(served) >= overload.FLOOR * served[0]
+    assert min(served) >= overload.MIN_SERVED_RATIO * served[0]
 
 
 def test_those_refused_are_told_to_return_one_after_the_other(burst):
@@ -161,9 +161,12 @@
     assert refused == 0
 
 
-def _arrival(priority=0, team="a", objective_s=0.3, left_s=2.4):
+def _arrival(priority=0, team="a", objective_s=0.3, remaining_s=2.4):
     return overload.Arrival(
-        priority=priority, team=team, objective_s=objective_s, left_s=left_s
+        priority=priority,
+        team=team,
+        objective_s=objective_s,
+        remaining_s=remaining_s,
     )
 
 
@@ -177,32 +180,34 @@
     ],
 )
 def test_a_wait_is_expected_from_what_waits(load, slots, wait_s):
-    assert overload.Overload().wait_s(load, slots) == pytest.approx(wait_s)
+    assert overload.AdmissionControl().estimated_wait_s(
+        load, slots
+    ) == pytest.approx(wait_s)
 
 
 @pytest.mark.parametrize(
     ("wait_s", "refused"), [(0.0, False), (0.17, False), (0.19, True)]
 )
 def test_a_request_is_refused_if_it_would_wait_too_long(wait_s, refused):
-    gate = overload.Overload()
+    gate = overload.AdmissionControl()
     for n in range(20):
-        gate.arrive(_arrival(), 0.0, n / 100)
-    assert (gate.arrive(_arrival(), wait_s, 0.2) is not None) is refused
+        gate.admit(_arrival(), 0.0, n / 100)
+    assert (gate.admit(_arrival(), wait_s, 0.2) is not None) is refused
 
 
 def test_the_less_urgent_are_refused_first():
-    gate = overload.Overload()
+    gate = overload.AdmissionControl()
     for n in range(40):
-        gate.arrive(_arrival(priority=n % 2), 0.0, n / 100)
-    assert gate.arrive(_arrival(priority=1), 0.12, 0.4) is not None
-    assert gate.arrive(_arrival(priority=0), 0.12, 0.4) is None
+        gate.admit(_arrival(priority=n % 2), 0.0, n / 100)
+    assert gate.admit(_arrival(priority=1), 0.12, 0.4) is not None
+    assert gate.admit(_arrival(priority=0), 0.12, 0.4) is None
 
 
 def _teams_share(gate, hot, seconds, start_s=0.0):
     """Lets ten teams ask, one of them as often as all others together."""
     for n in range(int(seconds * 100)):
         team = hot if n % 2 else "abcdefghij"[n // 2 % 10]
-        gate.arrive(_arrival(team=team), 0.0, start_s + n / 100)
+        gate.admit(_arrival(team=team), 0.0, start_s + n / 100)
 
 
 @pytest.mark.parametrize(
@@ -212,32 +217,32 @@
 def test_a_team_far_above_its_share_gets_free_places_only(
     team, wait_s, refused
 ):
-    gate = overload.Overload()
+    gate = overload.AdmissionControl()
     _teams_share(gate, "a", 2.0)
-    found = gate.arrive(_arrival(team=team), wait_s, 2.0)
+    found = gate.admit(_arrival(team=team), wait_s, 2.0)
     assert (found is not None) is refused
 
 
 def test_a_team_that_is_always_large_is_no_surge():
-    gate = overload.Overload()
+    gate = overload.AdmissionControl()
     _teams_share(gate, "a", 600.0)
-    assert gate.arrive(_arrival(team="a"), 0.1, 600.0) is None
+    assert gate.admit(_arrival(team="a"), 0.1, 600.0) is None
 
 
 def test_a_wait_beyond_what_is_left_is_refused():
-    gate = overload.Overload()
-    assert gate.arrive(_arrival(left_s=0.05), 0.1, 0.0) is not None
+    gate = overload.AdmissionControl()
+    assert gate.admit(_arrival(remaining_s=0.05), 0.1, 0.0) is not None
 
 
 def test_what_cannot_begin_before_its_caller_leaves_is_refused():
-    gate = overload.Overload()
+    gate = overload.AdmissionControl()
     for n in range(20):
-        gate.arrive(_arrival(priority=n % 2), 0.0 if n % 2 else 5.0, n / 100)
-    assert gate.arrive(_arrival(left_s=2.4), 2.5, 0.2) is not None
+        gate.admit(_arrival(priority=n % 2), 0.0 if n % 2 else 5.0, n / 100)
+    assert gate.admit(_arrival(remaining_s=2.4), 2.5, 0.2) is not None
 
 
 def test_who_is_refused_later_in_an_overload_is_told_to_stay_away_longer():
-    gate = overload.Overload()
+    gate = overload.AdmissionControl()
     told = [gate.retry_after_s(0.1, n / 10) for n in range(40)]
     assert told[0] == pytest.approx(0.2)
     assert told[39] == pytest.approx(2 * 3.9)
@@ -245,14 +250,14 @@
 
 
 def test_nobody_is_told_to_stay_away_for_minutes():
-    gate = overload.Overload()
+    gate = overload.AdmissionControl()
     for n in range(200):
-        gate.arrive(_arrival(), 0.0 if n < 5 else 9.0, n / 100)
+        gate.admit(_arrival(), 0.0 if n < 5 else 9.0, n / 100)
     told = [gate.retry_after_s(9.0, 2.0 + n / 2) for n in range(400)]
     assert max(told) == pytest.approx(30.0)
 
 
 def test_a_route_without_an_objective_sets_none():
-    gate = overload.Overload()
-    gate.arrive(_arrival(objective_s=0.0), 0.0, 0.0)
-    assert gate.arrive(_arrival(objective_s=0.3), 0.1, 0.1) is None
+    gate = overload.AdmissionControl()
+    gate.admit(_arrival(objective_s=0.0), 0.0, 0.0)
+    assert gate.admit(_arrival(objective_s=0.3), 0.1, 0.1) is None
--- a/irisshelf/tests/test_server_choice.py
+++ b/irisshelf/tests/test_server_choice.py
@@ -5,13 +5,13 @@
 import pytest
 
 from irisshelf.catalog import directory
-from irisshelf.routing.direct import holdings
+from irisshelf.routing.direct import cache_locations
 from irisshelf.routing.direct import prompt
 from irisshelf.routing.direct import ranking
-from irisshelf.routing.direct import server_book
 from irisshelf.routing.direct import server_choice
+from irisshelf.routing.direct import server_stats
 
-Seen = server_book.Seen
+Seen = server_stats.Outcome
 
 
 def _server(name, state="ready", data_centre="a"):
@@ -66,9 +66,9 @@
 def test_a_home_at_its_bound_passes_its_turn_and_is_the_source():
     chooser = _chooser()
     home = _choose(chooser).server
-    chooser.sent(_prompt(), home.server_id, 0.0)
+    chooser.record_sent(_prompt(), home.server_id, 0.0)
     for _ in range(12):
-        chooser.book.began(home.server_id, 1.0)
+        chooser.stats.record_start(home.server_id, 1.0)
     choice = _choose(chooser)
     assert choice.reason is server_choice.Reason.SPILL
     assert (choice.server != home, choice.source) == (True, home)
@@ -87,12 +87,12 @@
     chooser = _chooser()
     taking, idle = _SERVERS[:2], _SERVERS[2:]
     home = ranking.rank(taking, "bb")[0]
-    chooser.sent(_prompt(), home.server_id, 0.0)
+    chooser.record_sent(_prompt(), home.server_id, 0.0)
     for server in taking:
         work = own if server is home else 4
-        chooser.book.told(server.server_id, work=work, at_s=1.0)
+        chooser.stats.record_load_report(server.server_id, work=work, at_s=1.0)
     for server in idle:
-        chooser.book.told(server.server_id, work=0, at_s=1.0)
+        chooser.stats.record_load_report(server.server_id, work=0, at_s=1.0)
     choice = chooser.choose(
         taking, _prompt(), avoid=frozenset(), now=1.0, idle=idle
     )
@@ -109,12 +109,13 @@
 
 
 @pytest.mark.parametrize(
-    ("age_s", "known"), [(1.0, True), (holdings.HELD_S + 0.1, False)]
+    ("age_s", "known"),
+    [(1.0, True), (cache_locations.ENTRY_TTL_S + 0.1, False)],
 )
 def test_the_first_in_the_ranking_takes_parts_over_from_a_holder(age_s, known):
     chooser = _chooser()
     home, second, third, _ = ranking.rank(_SERVERS, "bb")
-    chooser.sent(_prompt(), third.server_id, 0.0)
+    chooser.record_sent(_prompt(), third.server_id, 0.0)
     choice = _choose(chooser, now=age_s)
     assert (choice.server, choice.reason) == (home, server_choice.Reason.HOME)
     # What nobody is known to hold may lie at the home before this one.
@@ -125,7 +126,7 @@
     chooser = _chooser()
     other = _prompt(subject="another", first=900)
     holder = ranking.rank(_SERVERS, "bb")[-1]
-    chooser.sent(other, holder.server_id, 0.0)
+    chooser.record_sent(other, holder.server_id, 0.0)
     choice = _choose(chooser, asked=_prompt(first=900))
     assert (choice.server != holder, choice.source) == (True, holder)
 
@@ -165,7 +166,7 @@
     firsts = {"a": _first("a"), "b": _first("b")}
     assert ranking.rank(_TWO_CENTRES, _FAR_SUBJECT)[0] == firsts["b"]
     for name in {"a": "a", "b": "b", "both": "ab"}.get(holder, ""):
-        chooser.sent(asked, firsts[name].server_id, 20.0 - age_s)
+        chooser.record_sent(asked, firsts[name].server_id, 20.0 - age_s)
     choice = _choose(chooser, servers=_TWO_CENTRES, asked=asked, now=20.0)
     assert (choice.server, choice.reason) == (firsts[chosen], reason)
     if holder:
@@ -174,8 +175,8 @@
 
 def test_a_holder_that_does_not_answer_is_nothing_to_fetch_from():
     chooser = _chooser()
-    chooser.sent(_prompt(), _first("b").server_id, 10.0)
-    chooser.book.seen(_first("b").server_id, Seen.UNREACHABLE, 20.0)
+    chooser.record_sent(_prompt(), _first("b").server_id, 10.0)
+    chooser.stats.record_outcome(_first("b").server_id, Seen.UNREACHABLE, 20.0)
     choice = _choose(chooser, servers=_TWO_CENTRES, now=20.0)
     left = [s for s in _TWO_CENTRES if s != _first("b")]
     assert choice.server == ranking.rank(left, "bb")[0]
@@ -185,9 +186,9 @@
 def test_a_holder_that_fails_requests_can_still_hand_its_parts_on():
     chooser = _chooser()
     holder = _choose(chooser).server
-    chooser.sent(_prompt(), holder.server_id, 0.0)
+    chooser.record_sent(_prompt(), holder.server_id, 0.0)
     for _ in range(3):
-        chooser.book.seen(holder.server_id, Seen.SILENT, 1.9)
+        chooser.stats.record_outcome(holder.server_id, Seen.SILENT, 1.9)
     choice = _choose(chooser, now=2.0)
     assert (choice.server != holder, choice.source) == (True, holder)
 
@@ -215,7 +216,7 @@
         chooser = server_choice.Chooser(
             data_centre=data_centre, rng=random.Random(1)
         )
-        chooser.sent(asked, holder.server_id, 0.0)
+        chooser.record_sent(asked, holder.server_id, 0.0)
         choice = _choose(chooser, servers=servers, asked=asked)
         chosen.add(choice.server.data_centre)
     assert len(chosen) == homes
@@ -223,28 +224,33 @@
 
 def test_what_others_tell_is_not_told_again():
     chooser = _chooser()
-    keys = [holdings.key_of(part.part_id) for part in _prompt().shared]
-    assert chooser.sent(_prompt(), "1", 1.0) == keys
-    assert chooser.sent(_prompt(), "1", 2.0) == []
-    assert chooser.sent(_prompt(), "1", 1.0 + holdings.TELL_AGAIN_S) == keys
-    chooser.holdings.heard(keys[0], "2", 7.0)
-    assert chooser.sent(_prompt(), "2", 8.0) == keys[1:]
+    keys = [cache_locations.part_key(part.part_id) for part in _prompt().shared]
+    assert chooser.record_sent(_prompt(), "1", 1.0) == keys
+    assert chooser.record_sent(_prompt(), "1", 2.0) == []
+    assert (
+        chooser.record_sent(
+            _prompt(), "1", 1.0 + cache_locations.ANNOUNCE_INTERVAL_S
+        )
+        == keys
+    )
+    chooser.cache_locations.record_from_peer(keys[0], "2", 7.0)
+    assert chooser.record_sent(_prompt(), "2", 8.0) == keys[1:]
 
 
 def test_a_holder_fetches_nothing():
     chooser = _chooser()
     home = _choose(chooser).server
-    chooser.sent(_prompt(), home.server_id, 0.0)
+    chooser.record_sent(_prompt(), home.server_id, 0.0)
     assert _choose(chooser).source is None
 
 
 def test_parts_are_fetched_from_the_one_that_has_held_them_longest():
     chooser = _chooser()
     first, second, third = _SERVERS[:3]
-    chooser.sent(_prompt(), second.server_id, 0.0)
-    chooser.sent(_prompt(), first.server_id, 0.3)
-    chooser.sent(_prompt(), second.server_id, 0.4)
-    chooser.sent(_prompt(), first.server_id, 0.5)
+    chooser.record_sent(_prompt(), second.server_id, 0.0)
+    chooser.record_sent(_prompt(), first.server_id, 0.3)
+    chooser.record_sent(_prompt(), second.server_id, 0.4)
+    chooser.record_sent(_prompt(), first.server_id, 0.5)
     asked = [first.server_id, second.server_id]
     choice = _choose(chooser, servers=[first, second, third], avoid=asked)
     assert (choice.server, choice.source) == (third, second)
@@ -253,7 +259,7 @@
 def test_a_leaving_holder_is_still_a_source():
     chooser = _chooser()
     home = _choose(chooser).server
-    chooser.sent(_prompt(), home.server_id, 0.0)
+    chooser.record_sent(_prompt(), home.server_id, 0.0)
     servers = [
         _server(s.server_id, "leaving") if s == home else s for s in _SERVERS
     ]
@@ -277,9 +283,9 @@
 def test_without_a_subject_the_one_expected_first_is_chosen():
     chooser = _chooser()
     for server in _SERVERS:
-        chooser.book.lasted(server.server_id, 0.08)
-    chooser.book.lasted("3", 0.0)
-    chooser.book.lasted("3", 0.0)
+        chooser.stats.record_duration(server.server_id, 0.08)
+    chooser.stats.record_duration("3", 0.0)
+    chooser.stats.record_duration("3", 0.0)
     choice = _choose(chooser, asked=prompt.Prompt())
     assert choice.server.server_id == "3"
 
@@ -287,7 +293,7 @@
 def test_when_all_rest_one_is_asked_all_the_same():
     chooser = _chooser()
     for server in _SERVERS:
-        chooser.book.seen(server.server_id, Seen.UNREACHABLE, 1.0)
+        chooser.stats.record_outcome(server.server_id, Seen.UNREACHABLE, 1.0)
     choice = _choose(chooser, now=1.1)
     assert choice.reason is server_choice.Reason.LAST_RESORT
 
@@ -304,10 +310,10 @@
     chooser = _chooser()
     asked = _prompt(tokens=tokens)
     home = _choose(chooser, asked=asked).server
-    chooser.sent(asked, home.server_id, 1.0)
+    chooser.record_sent(asked, home.server_id, 1.0)
     for server in _SERVERS:
         work = running if server == home else 1
-        chooser.book.told(server.server_id, work=work, at_s=1.0)
+        chooser.stats.record_load_report(server.server_id, work=work, at_s=1.0)
     assert _choose(chooser, asked=asked).reason is reason
 
 
@@ -334,5 +340,5 @@
         least = min(loads[s.server_id] for s in takes)
         assert loads[name] <= max(cap, least)
         loads[name] += 1
-        chooser.book.began(name, 1.0)
-        chooser.sent(asked, name, 1.0)
+        chooser.stats.record_start(name, 1.0)
+        chooser.record_sent(asked, name, 1.0)
--- a/irisshelf/tests/test_server_lives.py
+++ b/irisshelf/tests/test_server_lives.py
@@ -18,7 +18,7 @@
 from irisshelf.platform import documents
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.routing.direct import prompt
-from irisshelf.routing.direct import server_book
+from irisshelf.routing.direct import server_stats
 
 _BORN_MS = 1_786_503_869_131
 _PROMPT = prompt.Prompt(
@@ -50,7 +50,7 @@
 
 
 def _book(world):
-    return world.inst.servers.chooser("crew").book
+    return world.inst.servers.chooser("crew").stats
 
 
 def _load(world, life):
@@ -68,20 +68,22 @@
 
 def _rest(world, life):
     for _ in range(4):
-        seen = server_book.Seen.BROKEN
+        seen = server_stats.Outcome.BROKEN
         world.inst.servers.seen(life, seen, "r1")
-    return lambda of: not _book(world).fit(of.server_id, world.inst.now())
+    return lambda of: (
+        not _book(world).is_available(of.server_id, world.inst.now())
+    )
 
 
 def _out_of_reach(world, life):
-    _book(world).seen(
-        life.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+    _book(world).record_outcome(
+        life.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
     )
     return world.inst.servers.out_of_reach
 
 
 def _duration(world, life):
-    _book(world).lasted(life.server_id, 3.0)
+    _book(world).record_duration(life.server_id, 3.0)
     return lambda of: _book(world).duration_s(of.server_id) > 0
 
 
@@ -93,14 +95,14 @@
 def _prompt_held_by_others_word(world, life):
     key = directory.key_of(life.server_id)
     chooser = world.inst.servers.chooser("crew")
-    for part in chooser.sent(_PROMPT, "another", world.inst.now()):
+    for part in chooser.record_sent(_PROMPT, "another", world.inst.now()):
         world.inst.servers.heard_fact(facts.PartHeld(server=key, part=part))
     return lambda of: _holds(world, of)
 
 
 def _holds(world, life):
-    held = world.inst.servers.chooser("crew").holdings
-    return any(life.server_id in servers for servers in held._held.values())
+    held = world.inst.servers.chooser("crew").cache_locations
+    return any(life.server_id in servers for servers in held._entries.values())
 
 
 def _connection_at_rest(world, life):
--- a/irisshelf/tests/test_silent_connections.py
+++ b/irisshelf/tests/test_silent_connections.py
@@ -56,7 +56,9 @@
     for one in world.plain:
         one.always = server_module.Fault.HANG
         if one.server_id != asked.server_id:
-            world.inst.servers.chooser("crew").book.lasted(one.server_id, 9.0)
+            world.inst.servers.chooser("crew").stats.record_duration(
+                one.server_id, 9.0
+            )
     assert world.ask("/alarm/1", Deadline_Ms="900").status == 504
     assert rested.pop(asked.server_id).is_stale() is closed
     assert not any(conn.is_stale() for conn in rested.values())
--- a/irisshelf/tests/test_sleep.py
+++ b/irisshelf/tests/test_sleep.py
@@ -15,7 +15,7 @@
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.platform.stand_in import store
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing.direct import server_book
+from irisshelf.routing.direct import server_stats
 
 _STRICT = settings.Bounds(keys_strict=True, key_withdrawn_ms=5000.0)
 _LENIENT = settings.Bounds(keys_strict=False)
@@ -158,12 +158,12 @@
 @pytest.mark.parametrize(("slept_s", "fit"), [(0.3, False), (6, True)])
 def test_a_server_has_rested_in_a_sleep(make_world, sleep, slept_s, fit):
     world = make_world(bounds=_LENIENT)
-    book = world.inst.servers.chooser("crew").book
+    book = world.inst.servers.chooser("crew").stats
     name = world.plain[0].server_id
     for _ in range(3):
-        book.seen(name, server_book.Seen.BROKEN, world.inst.now())
+        book.record_outcome(name, server_stats.Outcome.BROKEN, world.inst.now())
     sleep(slept_s)
-    assert book.fit(name, world.inst.now()) is fit
+    assert book.is_available(name, world.inst.now()) is fit
 
 
 @pytest.mark.parametrize(("slept_s", "known"), [(3, 1), (60, 0)])
--- a/irisshelf/tests/test_stale_load.py
+++ b/irisshelf/tests/test_stale_load.py
@@ -11,7 +11,7 @@
 import pytest
 
 from irisshelf.catalog import directory
-from irisshelf.routing.direct import full_load
+from irisshelf.routing.direct import load_limits
 from irisshelf.routing.direct import policy
 from irisshelf.routing.direct import prompt
 from irisshelf.routing.direct import server_choice
@@ -28,7 +28,9 @@
 
 def _costs(*costs, own=(0, 0, 0)):
     return [
-        stale_load.Cost(name=server.server_id, cost=cost, step=1.0, sent=count)
+        stale_load.Cost(
+            name=server.server_id, cost=cost, marginal_cost=1.0, sent=count
+        )
         for server, cost, count in zip(_SERVERS, costs, own, strict=True)
     ]
 
@@ -46,7 +48,7 @@
     ],
 )
 def test_unseen_work_is_spread(unseen, own, added):
-    found = stale_load.spread(_costs(1.0, 2.0, 3.0, own=own), unseen)
+    found = stale_load.spread_unreported(_costs(1.0, 2.0, 3.0, own=own), unseen)
     assert tuple(found.values()) == pytest.approx(added)
 
 
@@ -59,9 +61,11 @@
             rng=random.Random(number),
             policy=policy.Policy(stale_load=way),
         )
-        chooser.book.stayed(0.1)
+        chooser.stats.record_residence_time(0.1)
         for server, work in zip(_SERVERS, (5, 6, 7), strict=True):
-            chooser.book.told(server.server_id, work=work, at_s=1.0)
+            chooser.stats.record_load_report(
+                server.server_id, work=work, at_s=1.0
+            )
         choice = chooser.choose(
             _SERVERS, prompt.Prompt(), avoid=frozenset(), now=1.0 + age_s
         )
@@ -74,14 +78,16 @@
     instances,
 ):
     """Guards against a herd on one server between two reports."""
-    got = _sends(stale_load.Way.SPREAD, instances=instances, age_s=0.25)
+    got = _sends(stale_load.Strategy.SPREAD, instances=instances, age_s=0.25)
     assert max(got.values()) <= 0.6 * instances
-    together = _sends(stale_load.Way.REPORTED, instances=instances, age_s=0.25)
+    together = _sends(
+        stale_load.Strategy.REPORTED, instances=instances, age_s=0.25
+    )
     assert max(together.values()) == instances
 
 
 def test_a_fresh_report_is_followed():
-    got = _sends(stale_load.Way.SPREAD, instances=20, age_s=0.001)
+    got = _sends(stale_load.Strategy.SPREAD, instances=20, age_s=0.001)
     assert got["1"] == 20
 
 
@@ -100,9 +106,9 @@
     chooser = server_choice.Chooser(data_centre="a", rng=random.Random(1))
     resting = _SERVERS if chosen is None else _SERVERS[:1]
     for server in resting:
-        chooser.full_loads.rests(server.server_id, 1.0)
+        chooser.load_limits.record_backoff(server.server_id, 1.0)
     for server, work in zip(_SERVERS, works, strict=True):
-        chooser.book.told(server.server_id, work=work, at_s=1.0)
+        chooser.stats.record_load_report(server.server_id, work=work, at_s=1.0)
     choice = chooser.choose(
         _SERVERS, prompt.Prompt(), avoid=frozenset(), now=1.0
     )
@@ -111,7 +117,7 @@
 
 
 def test_a_limit_rises_until_it_binds_no_more():
-    loads = full_load.FullLoads()
-    loads.rests("1", 0.0)
+    loads = load_limits.LoadLimits()
+    loads.record_backoff("1", 0.0)
     limits = [loads.limit("1", _SLOTS, now) for now in (0.0, 30.0, 300.0)]
     assert limits == [4.0, 8.0, math.inf]
--- a/irisshelf/tests/test_unknown_speed.py
+++ b/irisshelf/tests/test_unknown_speed.py
@@ -14,7 +14,7 @@
 from irisshelf.routing.direct import server_choice
 from irisshelf.routing.direct import unknown_speed
 
-_FIXED, _FASTEST = unknown_speed.Way.FIXED, unknown_speed.Way.FASTEST
+_FIXED, _FASTEST = unknown_speed.Strategy.FIXED, unknown_speed.Strategy.FASTEST
 _NEW = "new"
 
 
@@ -44,11 +44,11 @@
             servers, prompt.Prompt(), avoid=frozenset(), now=now
         )
         name = choice.server.server_id
-        chooser.book.began(name, now)
+        chooser.stats.record_start(name, now)
         took_s = takes_s[name] * rng.uniform(0.8, 1.25)
         now += took_s
-        chooser.book.ended(name, now)
-        chooser.book.lasted(name, took_s)
+        chooser.stats.record_end(name, now)
+        chooser.stats.record_duration(name, took_s)
         got[name] += 1
     return got
 
@@ -75,7 +75,7 @@
 def test_one_that_does_not_answer_has_one_request_at_a_time():
     chooser = server_choice.Chooser(data_centre="a", rng=random.Random(1))
     for name in ("1", "2"):
-        chooser.book.lasted(name, 0.002)
+        chooser.stats.record_duration(name, 0.002)
     got = []
     for _ in range(20):
         choice = chooser.choose(
@@ -83,7 +83,7 @@
         )
         got.append(choice.server.server_id)
         if choice.server.server_id == _NEW:
-            chooser.book.began(_NEW, 1.0)
+            chooser.stats.record_start(_NEW, 1.0)
     assert got.count(_NEW) == 1
 
 
@@ -96,4 +96,7 @@
     ],
 )
 def test_what_is_assumed(way, times_s, under_way, found):
-    assert set(unknown_speed.fill_in(way, times_s, under_way).values()) == found
+    assert (
+        set(unknown_speed.fill_unknown(way, times_s, under_way).values())
+        == found
+    )
