--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -54,7 +54,7 @@
 def _serve(inst: instance.Instance, job: messages.Job) -> None:
     inst.note_sleep()
     inst.crashes.verdict(job)
-    inst.crashes.served(job)
+    inst.crashes.record_success(job)
 
 
 def _instance() -> instance.Instance:
--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -23,7 +23,7 @@
 from irisshelf.gateway.knowledge import follower
 from irisshelf.gateway.knowledge import neighbours
 from irisshelf.gateway.knowledge import store_updates
-from irisshelf.gateway.requests import front
+from irisshelf.gateway.requests import frontend
 from irisshelf.observe import decision_log
 from irisshelf.store import feed
 from irisshelf.transport import server as caller_side
@@ -117,7 +117,7 @@
             ),
             neighbours=self._neighbours,
         )
-        self._front = front.Front(inst=self._inst)
+        self._front = frontend.Frontend(inst=self._inst)
         self._listeners = [
             self._listener(
                 cfg.listen.front, self._front.limits, self._front.handle
@@ -167,10 +167,10 @@
         gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
             roster=self._neighbours.roster,
-            on_fact=self._inst.servers.heard_fact,
+            on_fact=self._inst.servers.apply_fact,
             rng=self._inst.rng,
         )
-        self._inst.servers.tell = gossip.tell
+        self._inst.servers.publish = gossip.tell
         gevent.spawn(gossip.run)
 
     def _take_members(self, others_here: int) -> None:
--- a/irisshelf/gateway/instance.py
+++ b/irisshelf/gateway/instance.py
@@ -13,7 +13,7 @@
 from irisshelf.gateway import dialect as dialect_module
 from irisshelf.gateway import metrics
 from irisshelf.gateway import settings
-from irisshelf.gateway.servers import crashes
+from irisshelf.gateway.servers import crash_tracker
 from irisshelf.gateway.servers import eligibility
 from irisshelf.gateway.servers import servers as servers_module
 from irisshelf.observe import decision_log
@@ -73,7 +73,7 @@
             rng=rng,
             now=now,
         )
-        self.crashes = crashes.Crashes(
+        self.crashes = crash_tracker.CrashTracker(
             servers=self.servers,
             listed=self.directory,
             log=log,
@@ -133,7 +133,7 @@
     def isolated(self) -> bool:
         """Whether no server of the configuration's can be reached."""
         services = self.catalog.services if self.catalog else ()
-        return self.servers.isolated(services)
+        return self.servers.is_isolated(services)
 
     def answer_readiness(self) -> bool:
         """Tells whether it is ready, and logs it if that has changed."""
@@ -218,4 +218,4 @@
     def server_list_taken(self) -> None:
         """Notes that the store's list has been read."""
         self._listed = True
-        self.servers.list_changed()
+        self.servers.on_list_changed()
--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -23,7 +23,7 @@
 from irisshelf import boottime
 from irisshelf.coordination import roster as roster_module
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
-from irisshelf.gateway.servers import crashes as crashes_module
+from irisshelf.gateway.servers import crash_tracker
 from irisshelf.observe import decision_log
 from irisshelf.routing import suspects
 
@@ -65,7 +65,7 @@
     def __init__(
         self,
         *,
-        crashes: crashes_module.Crashes,
+        crashes: crash_tracker.CrashTracker,
         datagrams: datagrams_module.Datagrams,
         roster: roster_module.Roster,
         log: decision_log.DecisionLog,
@@ -74,8 +74,8 @@
         self._crashes = crashes
         self._datagrams = datagrams
         self._roster = roster
-        crashes.on_end = self._tell_end
-        crashes.on_good = self._tell_good
+        crashes.on_crash = self._tell_end
+        crashes.on_clear = self._tell_good
         datagrams.subscribe(_KIND, self.take)
 
     def take(self, content: Any) -> None:
@@ -131,15 +131,15 @@
             return
         for content, server, age_ms in rows:
             end = suspects.End(server=server, at_s=now - age_ms / 1000)
-            self._crashes.caught_up(content, end)
+            self._crashes.merge_crash(content, end)
 
     def _apply(self, message: _Message) -> None:
         if message.server is None:
-            self._crashes.heard_good(message.content)
+            self._crashes.receive_clear(message.content)
             return
         at_s = boottime.now() - message.age_ms / 1000
         end = suspects.End(server=message.server, at_s=at_s)
-        self._crashes.heard_end(message.content, end)
+        self._crashes.receive_crash(message.content, end)
 
     def _tell_end(self, content: bytes, end: suspects.End) -> None:
         self._tell(content, end.server, end.at_s)
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -244,7 +244,7 @@
         """Drops servers whose lapsed entries have not come back."""
         while True:
             gevent.sleep(_EXPIRE_EVERY_S)
-            self._inst.servers.links.expire()
+            self._inst.servers.connection_pool.close_expired()
             if not self._up.is_set():
                 continue
             now = boottime.now()
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -54,7 +54,7 @@
             self._log_unreadable(unreadable)
             self._inst.directory.apply(map(_change, unreadable))
         changes = tuple(map(_change, batch.items))
-        self._inst.servers.tell_cold(changes)
+        self._inst.servers.publish_cold(changes)
         if batch.whole:
             copied = self._copied(batch, now)
             self._replace(changes, batch.position, now, copied)
@@ -75,7 +75,7 @@
         self._position = position
         self._changes.add(changes, position, now)
         self._inst.server_list_taken()
-        self._inst.eligible.entries_told(changes)
+        self._inst.eligible.update_from_entries(changes)
         self._log_changes(changes, position, now, whole=False)
 
     def update(self, store_s: float, now: float) -> shared_watch.ServersUpdate:
@@ -92,7 +92,7 @@
         gone = self._inst.directory.expire(now)
         if gone:
             self._inst.log.instance("lapsed_servers_gone", servers=gone)
-            self._inst.servers.list_changed()
+            self._inst.servers.on_list_changed()
 
     def _replace(
         self,
@@ -110,7 +110,7 @@
         )
         self._changes.restart(position)
         self._inst.server_list_taken()
-        self._inst.eligible.entries_told(entries)
+        self._inst.eligible.update_from_entries(entries)
         self._log_changes(entries, position, now, whole=True)
 
     def _copied(self, batch: feed.Batch, now: float) -> frozenset[str]:
--- a/irisshelf/gateway/requests/attempt.py
+++ b/irisshelf/gateway/requests/attempt.py
@@ -8,7 +8,7 @@
 from irisshelf.catalog import model
 from irisshelf.gateway import instance as instance_module
 from irisshelf.gateway import messages
-from irisshelf.gateway.requests import watched
+from irisshelf.gateway.requests import monitored_connection
 from irisshelf.routing import outcome
 from irisshelf.routing.direct import event_stream
 from irisshelf.routing.direct import server_book
@@ -103,7 +103,7 @@
         self._choice = choice
         self._conn = conn
         self._patience_s = patience_s
-        self._watched = watched.Watched(
+        self._watched = monitored_connection.MonitoredConnection(
             inst=inst,
             server=choice.server,
             conn=conn,
@@ -119,8 +119,8 @@
         """
         server = self._choice.server
         book = self._inst.servers.chooser(server.service).book
-        links = self._inst.servers.links
-        links.begin(server, self._conn)
+        pool = self._inst.servers.connection_pool
+        pool.mark_in_use(server, self._conn)
         book.began(server.server_id, self._inst.now())
         keep_alive_s = None
         try:
@@ -128,7 +128,7 @@
             head = self._exchange_head()
             keep_alive_s = head.report.keep_alive_s
             if not head.not_run:
-                self._inst.servers.reports.answered(server, sent_s)
+                self._inst.servers.reports.record_response(server, sent_s)
             self._check(head)
             head_s = self._inst.now()
             book.lasted(server.server_id, head_s - sent_s)
@@ -147,7 +147,7 @@
             book.ended(server.server_id, self._inst.now())
             # A connection in the middle of an answer is not reusable and is
             # closed, so that the server stops working on it.
-            links.put(server, self._conn, keep_alive_s)
+            pool.release(server, self._conn, keep_alive_s)
 
     def _exchange_head(self) -> messages.AnswerHead:
         job = self._job
@@ -184,7 +184,7 @@
             while True:
                 status, raw = self._watched.read_head(until_s)
                 head = self._inst.dialect.answer_head(status, raw)
-                self._inst.servers.reports.take(
+                self._inst.servers.reports.handle(
                     self._choice.server, head.report, self._job.ask.request_id
                 )
                 if head.request_id in ("", self._job.ask.request_id):
--- a/irisshelf/gateway/requests/front.py
+++ b/irisshelf/gateway/requests/frontend.py
@@ -11,7 +11,7 @@
 from irisshelf.gateway import instance as instance_module
 from irisshelf.gateway import messages
 from irisshelf.gateway.requests import admission
-from irisshelf.gateway.requests import call as call_module
+from irisshelf.gateway.requests import request_handler
 from irisshelf.routing.direct import outage
 from irisshelf.transport import errors
 from irisshelf.transport import server as caller_side
@@ -28,7 +28,7 @@
 _STARTING_RETRY_S = 0.3
 
 
-class Front:
+class Frontend:
     """Answers requests of callers.
 
     Args:
@@ -82,7 +82,9 @@
             self._serve(job, conn)
 
     def _serve(self, job: messages.Job, conn: caller_side.Connection) -> None:
-        call = call_module.Call(inst=self._inst, job=job, conn=conn)
+        call = request_handler.RequestHandler(
+            inst=self._inst, job=job, conn=conn
+        )
         self._inst.in_flight += 1
         self._inst.metrics.in_flight.set(self._inst.in_flight)
         ended = "failed_inside"
@@ -100,7 +102,10 @@
             self._count(job, ended, call)
 
     def _count(
-        self, job: messages.Job, ended: str, call: call_module.Call
+        self,
+        job: messages.Job,
+        ended: str,
+        call: request_handler.RequestHandler,
     ) -> None:
         kind = job.route.kind.value
         lasted_s = self._inst.now() - job.inbound.arrived_s
--- a/irisshelf/gateway/requests/watched.py
+++ b/irisshelf/gateway/requests/monitored_connection.py
@@ -7,7 +7,7 @@
 
 from irisshelf.catalog import directory
 from irisshelf.gateway import instance as instance_module
-from irisshelf.gateway.servers import reach
+from irisshelf.gateway.servers import reachability
 from irisshelf.transport import client
 from irisshelf.transport import errors
 
@@ -16,10 +16,10 @@
 _LOOK_S = 0.05
 # A connection that has been silent for so long may have lost its other end.
 # Engines pause for 0.02 to 0.06 s, beside a long prompt for up to 0.3 s.
-SILENT_CONNECTION_S = 0.5
+CONNECTION_SILENCE_LIMIT_S = 0.5
 
 
-class Watched:
+class MonitoredConnection:
     """Reads from a server as long as it can be reached.
 
     Args:
@@ -67,7 +67,7 @@
         )
 
     def _read(self, read: Callable[[float], _T], until_s: float) -> _T:
-        wait_s = reach.SILENT_S
+        wait_s = reachability.SILENCE_THRESHOLD_S
         began_s = self._inst.now()
         doubted = False
         while True:
@@ -83,14 +83,16 @@
                 self._look()
                 if not doubted and self._is_doubtful(began_s):
                     doubted = True
-                    self._inst.servers.doubt_connections(self._server, began_s)
+                    self._inst.servers.close_suspect_connections(
+                        self._server, began_s
+                    )
                 wait_s = _LOOK_S
                 continue
-            self._inst.servers.heard(self._server)
+            self._inst.servers.record_activity(self._server)
             return found
 
     def _is_doubtful(self, began_s: float) -> bool:
-        return self._inst.now() - began_s >= SILENT_CONNECTION_S
+        return self._inst.now() - began_s >= CONNECTION_SILENCE_LIMIT_S
 
     def _look(self) -> None:
         """Asks what became of a silent server.
@@ -98,6 +100,6 @@
         Raises:
             errors.OutOfReachError: It cannot be reached.
         """
-        self._inst.servers.reach.doubt(self._server)
-        if self._inst.servers.out_of_reach(self._server) and self._leave():
+        self._inst.servers.prober.probe_if_silent(self._server)
+        if self._inst.servers.is_unreachable(self._server) and self._leave():
             raise errors.OutOfReachError("silent and out of reach")
--- a/irisshelf/gateway/requests/placement.py
+++ b/irisshelf/gateway/requests/placement.py
@@ -9,8 +9,8 @@
 from irisshelf.gateway import instance as instance_module
 from irisshelf.gateway import messages
 from irisshelf.gateway.requests import admission
-from irisshelf.gateway.requests import sends as sends_module
-from irisshelf.gateway.servers import reach
+from irisshelf.gateway.requests import send_history
+from irisshelf.gateway.servers import reachability
 from irisshelf.routing import suspects
 from irisshelf.routing.direct import outage
 from irisshelf.routing.direct import server_choice
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Placed:
+class Assignment:
     """A server that is chosen, and a connection to it."""
 
     choice: server_choice.Choice
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Refused:
+class Rejection:
     """The request is not sent.
 
     Attributes:
@@ -71,7 +71,7 @@
         *,
         inst: instance_module.Instance,
         job: messages.Job,
-        sends: sends_module.Sends,
+        sends: send_history.SendHistory,
     ):
         self._inst = inst
         self._job = job
@@ -79,9 +79,11 @@
         self._chooser = inst.servers.chooser(job.service)
         self._admitted = False
         self._connects = 0
-        self._replacement: Placed | None = None
+        self._replacement: Assignment | None = None
 
-    def next(self, verdict: suspects.Verdict | None) -> Placed | Refused | None:
+    def next(
+        self, verdict: suspects.Verdict | None
+    ) -> Assignment | Rejection | None:
         """Places the next send.
 
         Args:
@@ -96,7 +98,7 @@
             choice = (
                 self._choose_suspect(verdict) if verdict else self._choose()
             )
-            if isinstance(choice, Refused):
+            if isinstance(choice, Rejection):
                 return choice
             if choice is None:
                 return self._no_server()
@@ -121,15 +123,15 @@
         )
         return True
 
-    def _no_server(self) -> Refused:
+    def _no_server(self) -> Rejection:
         """Says why there is no server, and when that may have changed."""
         inst = self._inst
         if self._job.regions is not None and not self._usable():
             # Another instance knows no other servers.
-            return Refused(why="no_region", retry_after_s=_NO_REGION_RETRY_S)
+            return Rejection(why="no_region", retry_after_s=_NO_REGION_RETRY_S)
         evacuated_s = inst.eligible.all_evacuated_for_s(self._job.service)
         if evacuated_s is not None:
-            return Refused(
+            return Rejection(
                 why="evacuated",
                 retry_after_s=outage.retry_after_s(evacuated_s, inst.rng),
             )
@@ -138,14 +140,14 @@
         )
         if pause_s is not None:
             spread_s = inst.rng.uniform(0.0, _RESTED_SPREAD_S)
-            return Refused(why="resting", retry_after_s=pause_s + spread_s)
+            return Rejection(why="resting", retry_after_s=pause_s + spread_s)
         cold_s = min(
             map(inst.eligible.cold_wait_s, self._accepting()), default=0.0
         )
         if cold_s:
             spread = inst.rng.uniform(1.0, _COLD_SPREAD)
-            return Refused(why="cold", retry_after_s=cold_s * spread)
-        return Refused(why="no_server")
+            return Rejection(why="cold", retry_after_s=cold_s * spread)
+        return Rejection(why="no_server")
 
     def replace(
         self, running: directory.BackendServer, conn: client.Connection
@@ -182,20 +184,22 @@
             self._keep(self._replacement)
             self._replacement = None
 
-    def _keep(self, placed: Placed) -> None:
-        self._inst.servers.links.put_new(placed.choice.server, placed.conn)
+    def _keep(self, placed: Assignment) -> None:
+        self._inst.servers.connection_pool.add_idle(
+            placed.choice.server, placed.conn
+        )
 
     def _left_s(self) -> float:
         return self._job.until_s - self._inst.now()
 
     def _choose_suspect(
         self, verdict: suspects.Verdict
-    ) -> server_choice.Choice | Refused | None:
-        place = self._inst.crashes.may_go_to(
+    ) -> server_choice.Choice | Rejection | None:
+        place = self._inst.crashes.place_suspect(
             self._job, verdict, self._sends.avoid
         )
         if place.uncertain:
-            return Refused(why=_UNCERTAIN, retry_after_s=_UNCERTAIN_RETRY_S)
+            return Rejection(why=_UNCERTAIN, retry_after_s=_UNCERTAIN_RETRY_S)
         if self._is_over() or place.server is None:
             return None
         return self._choose_among((place.server,), set())
@@ -230,7 +234,7 @@
         known = self._inst.eligible
         warm, cold = known.split(self._job.service, servers)
         service = self._job.service
-        idle = (*known.evacuated(service), *known.pausing(service))
+        idle = (*known.evacuated(service), *known.paused(service))
         choice = self._choose_of(warm, avoid, [*idle, *cold])
         if not cold or not _is_short(choice):
             return choice
@@ -238,7 +242,7 @@
         other = self._choose_of(turn, avoid, [*idle, *warm])
         if other is None or other.reason is server_choice.Reason.LAST_RESORT:
             return choice
-        known.sent_to_cold(other.server)
+        known.record_sent_to_cold(other.server)
         return other
 
     def _choose_of(
@@ -258,13 +262,13 @@
             idle=idle,
         )
 
-    def _refuse(self, choice: server_choice.Choice) -> Refused | None:
+    def _refuse(self, choice: server_choice.Choice) -> Rejection | None:
         """Decides once whether a request that would have to wait is sent."""
         if self._admitted:
             return None
         refusal = admission.refuse(self._inst, self._job, choice)
         if refusal is not None:
-            return Refused(
+            return Rejection(
                 why="overloaded", retry_after_s=refusal.retry_after_s
             )
         self._admitted = True
@@ -284,7 +288,7 @@
 
     def _connect_to_other(
         self, running: directory.BackendServer
-    ) -> Placed | None:
+    ) -> Assignment | None:
         """Connects to a fit server other than the one that runs."""
         if self._connects >= _MOST_CONNECTS:
             return None
@@ -298,29 +302,31 @@
             return None
         return self._connect_anew(choice)
 
-    def _connect(self, choice: server_choice.Choice) -> Placed | None:
+    def _connect(self, choice: server_choice.Choice) -> Assignment | None:
         """Returns None if the server cannot be reached."""
         server = choice.server
         # A connection to a lost server rests in vain: it swallows requests.
-        if not self._inst.servers.out_of_reach(server):
+        if not self._inst.servers.is_unreachable(server):
             rest_s = self._longest_rest_s()
-            kept = self._inst.servers.links.take(server, most_idle_s=rest_s)
+            kept = self._inst.servers.connection_pool.acquire(
+                server, max_idle_s=rest_s
+            )
             if kept is not None:
-                return Placed(choice=choice, conn=kept)
+                return Assignment(choice=choice, conn=kept)
         return self._connect_anew(choice)
 
-    def _connect_anew(self, choice: server_choice.Choice) -> Placed | None:
+    def _connect_anew(self, choice: server_choice.Choice) -> Assignment | None:
         """Returns None if the server cannot be reached."""
         server = choice.server
         self._connects += 1
         self._inst.metrics.connects.labels(server.service).inc()
-        timeout_s = min(reach.CONNECT_S, self._left_s())
+        timeout_s = min(reachability.CONNECT_TIMEOUT_S, self._left_s())
         try:
             conn = client.connect(server.address, timeout_s=timeout_s)
         except errors.ConnectError as exc:
             self._not_reached(choice, exc)
             return None
-        return Placed(choice=choice, conn=conn)
+        return Assignment(choice=choice, conn=conn)
 
     def _longest_rest_s(self) -> float:
         once = not self._job.route.repeatable
@@ -337,7 +343,9 @@
             # The others are known to be lost as well; the caller should hear
             # so while there is time to ask another instance.
             self._connects = _MOST_CONNECTS
-        self._inst.servers.unreachable(server, exc, self._job.ask.request_id)
+        self._inst.servers.record_unreachable(
+            server, exc, self._job.ask.request_id
+        )
 
 
 def _is_short(choice: server_choice.Choice | None) -> bool:
--- a/irisshelf/gateway/requests/call.py
+++ b/irisshelf/gateway/requests/request_handler.py
@@ -9,7 +9,7 @@
 from irisshelf.gateway.requests import admission
 from irisshelf.gateway.requests import attempt as attempt_module
 from irisshelf.gateway.requests import placement as placement_module
-from irisshelf.gateway.requests import sends as sends_module
+from irisshelf.gateway.requests import send_history
 from irisshelf.routing import outcome
 from irisshelf.routing import suspects
 from irisshelf.routing.direct import server_book
@@ -31,7 +31,7 @@
 _GATEWAY_TIMEOUT = 504
 
 
-class Call:
+class RequestHandler:
     """One request on its way.
 
     Args:
@@ -51,7 +51,7 @@
         self._job = job
         self._conn = conn
         self._retry_after_s = admission.RETRY_SOON_S
-        self._sends = sends_module.Sends(inst=inst, job=job)
+        self._sends = send_history.SendHistory(inst=inst, job=job)
         self._placement = placement_module.Placement(
             inst=inst, job=job, sends=self._sends
         )
@@ -80,7 +80,7 @@
             placed = self._placement.next(verdict)
             if placed is None:
                 continue
-            if isinstance(placed, placement_module.Refused):
+            if isinstance(placed, placement_module.Rejection):
                 self._retry_after_s = (
                     placed.retry_after_s or self._retry_after_s
                 )
@@ -102,7 +102,7 @@
         self._log_send(choice, conn.rested_s)
         self._sends.count += 1
         self._events_before = self._progress.events
-        self._inst.servers.sent_prompt(server, self._job.ask.prompt)
+        self._inst.servers.record_sent_prompt(server, self._job.ask.prompt)
         attempt_module.Attempt(
             inst=self._inst,
             job=self._job,
@@ -114,7 +114,7 @@
             leave=lambda: self._placement.replace(server, conn),
         ).run()
         self._seen(server, server_book.Seen.WELL)
-        self._inst.crashes.served(self._job)
+        self._inst.crashes.record_success(self._job)
         return "served"
 
     def _patience_s(self, first: bool) -> float:
@@ -146,7 +146,7 @@
         blamed = (
             exc.cut
             and nothing_came
-            and self._inst.crashes.broke(self._job, server)
+            and self._inst.crashes.record_disconnect(self._job, server)
         )
         if not exc.excuse:
             self._seen(server, exc.seen, str(exc))
@@ -174,8 +174,8 @@
         how long there is no use in another.
         """
         self._retry_after_s = verdict.barred_for_s
-        self._inst.crashes.refused(self._job, verdict)
-        return self._give_up(sends_module.ENDED_UNDER_IT)
+        self._inst.crashes.record_refusal(self._job, verdict)
+        return self._give_up(send_history.SERVERS_CRASHED)
 
     def _give_up(self, why: str) -> str:
         """Gives the final answer to a request that is not served."""
@@ -208,7 +208,9 @@
         what: server_book.Seen,
         detail: str = "",
     ) -> None:
-        self._inst.servers.seen(server, what, self._job.ask.request_id, detail)
+        self._inst.servers.record_observation(
+            server, what, self._job.ask.request_id, detail
+        )
 
     def _log_send(self, choice: server_choice.Choice, rested_s: float) -> None:
         self._inst.metrics.sends.labels(choice.reason.value).inc()
--- a/irisshelf/gateway/requests/sends.py
+++ b/irisshelf/gateway/requests/send_history.py
@@ -9,10 +9,10 @@
 from irisshelf.routing import outcome
 
 # Why a request is refused that servers ended under, or not sent again.
-ENDED_UNDER_IT = "servers_ended_under_it"
+SERVERS_CRASHED = "servers_ended_under_it"
 
 
-class Sends:
+class SendHistory:
     """The sends of one request so far.
 
     Args:
@@ -74,7 +74,7 @@
         if blamed:
             # It would end the next server as well. If it did not do it, its
             # caller's own repeat serves it.
-            return ENDED_UNDER_IT
+            return SERVERS_CRASHED
         if not self.take_retry():
             return "no_retry_budget"
         self._retry_taken = False
--- a/irisshelf/gateway/servers/links.py
+++ b/irisshelf/gateway/servers/connection_pool.py
@@ -11,10 +11,10 @@
 
 # Used where a server does not say how long it keeps idle connections, and at
 # the most where it does: some drop them earlier without a sign.
-_LONGEST_IDLE_S = 4.0
+_MAX_IDLE_S = 4.0
 # Closed so long before the server would.
-_MARGIN_S = 1.0
-_MOST_IDLE = 16
+_CLOSE_MARGIN_S = 1.0
+_MAX_IDLE_PER_SERVER = 16
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -24,7 +24,7 @@
     until_s: float
 
 
-class Links:
+class ConnectionPool:
     """Connections by life of a server.
 
     Args:
@@ -34,18 +34,18 @@
     def __init__(self, *, now: Callable[[], float]):
         self._now = now
         self._idle: dict[str, list[_Idle]] = {}
-        self._used: dict[client.Connection, directory.BackendServer] = {}
+        self._in_use: dict[client.Connection, directory.BackendServer] = {}
 
-    def take(
-        self, server: directory.BackendServer, *, most_idle_s: float
+    def acquire(
+        self, server: directory.BackendServer, *, max_idle_s: float
     ) -> client.Connection | None:
         """Returns a connection that has rested no longer than asked."""
         now = self._now()
-        resting = self._idle.get(server.server_id, [])
-        while resting:
-            idle = resting.pop()
-            if now - idle.since_s > most_idle_s:
-                resting.append(idle)
+        idle_conns = self._idle.get(server.server_id, [])
+        while idle_conns:
+            idle = idle_conns.pop()
+            if now - idle.since_s > max_idle_s:
+                idle_conns.append(idle)
                 return None
             if now < idle.until_s and not idle.conn.is_stale():
                 idle.conn.rested_s = now - idle.since_s
@@ -53,63 +53,68 @@
             idle.conn.close()
         return None
 
-    def begin(
+    def mark_in_use(
         self, server: directory.BackendServer, conn: client.Connection
     ) -> None:
         """Takes that an exchange begins."""
-        self._used[conn] = server
+        self._in_use[conn] = server
 
-    def break_off_ended(self, lives: Mapping[str, str]) -> int:
-        """Breaks off exchanges with lives that another has taken the place of.
+    def abort_replaced(self, incarnations: Mapping[str, str]) -> int:
+        """Aborts exchanges with incarnations that another one has replaced.
 
         A server that starts again has lost what it worked on. If it went dark,
         nothing else tells: those who wait there would until their patience or
         their callers' time is over.
 
         Args:
-            lives: The listed life of each id.
+            incarnations: The listed life of each id.
 
         Returns:
             How many were broken off.
         """
         ended = [
             conn
-            for conn, server in self._used.items()
-            if lives.get(server.entry_id, server.server_id) != server.server_id
+            for conn, server in self._in_use.items()
+            if incarnations.get(server.entry_id, server.server_id)
+            != server.server_id
         ]
         for conn in ended:
             conn.break_off()
         return len(ended)
 
-    def put(
+    def release(
         self,
         server: directory.BackendServer,
         conn: client.Connection,
         keep_alive_s: float | None,
     ) -> None:
         """Takes that an exchange has ended; keeps its connection if it may."""
-        self._used.pop(conn, None)
-        resting = self._idle.setdefault(server.server_id, [])
-        rest_s = _LONGEST_IDLE_S
+        self._in_use.pop(conn, None)
+        idle_conns = self._idle.setdefault(server.server_id, [])
+        keep_s = _MAX_IDLE_S
         if keep_alive_s is not None:
-            rest_s = min(rest_s, keep_alive_s - _MARGIN_S)
-        if rest_s <= 0 or not conn.reusable or len(resting) >= _MOST_IDLE:
+            keep_s = min(keep_s, keep_alive_s - _CLOSE_MARGIN_S)
+        if (
+            keep_s <= 0
+            or not conn.reusable
+            or len(idle_conns) >= _MAX_IDLE_PER_SERVER
+        ):
             conn.close()
             return
         now = self._now()
-        resting.append(_Idle(conn=conn, since_s=now, until_s=now + rest_s))
+        idle_conns.append(_Idle(conn=conn, since_s=now, until_s=now + keep_s))
 
-    def put_new(
+    def add_idle(
         self, server: directory.BackendServer, conn: client.Connection
     ) -> None:
         """Keeps a connection that nothing has been sent on yet."""
         now = self._now()
-        resting = self._idle.setdefault(server.server_id, [])
-        resting.append(
-            _Idle(conn=conn, since_s=now, until_s=now + _LONGEST_IDLE_S)
+        idle_conns = self._idle.setdefault(server.server_id, [])
+        idle_conns.append(
+            _Idle(conn=conn, since_s=now, until_s=now + _MAX_IDLE_S)
         )
 
-    def drop_rested(
+    def close_idle(
         self, server: directory.BackendServer, *, before_s: float
     ) -> int:
         """Closes a server's connections that have rested since before a time.
@@ -120,25 +125,25 @@
         Returns:
             How many were closed.
         """
-        resting = self._idle.get(server.server_id, [])
-        old = [idle for idle in resting if idle.since_s < before_s]
+        idle_conns = self._idle.get(server.server_id, [])
+        old = [idle for idle in idle_conns if idle.since_s < before_s]
         for idle in old:
-            resting.remove(idle)
+            idle_conns.remove(idle)
             idle.conn.close()
         return len(old)
 
-    def keep(self, names: frozenset[str]) -> None:
+    def retain(self, names: frozenset[str]) -> None:
         """Closes idle connections to servers that are not listed."""
         for name in [n for n in self._idle if n not in names]:
             for idle in self._idle.pop(name):
                 idle.conn.close()
 
-    def expire(self) -> None:
+    def close_expired(self) -> None:
         """Closes connections that have rested too long."""
         now = self._now()
-        for name, resting in self._idle.items():
+        for name, idle_conns in self._idle.items():
             kept = []
-            for idle in resting:
+            for idle in idle_conns:
                 if now < idle.until_s:
                     kept.append(idle)
                 else:
--- a/irisshelf/gateway/servers/crashes.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -16,7 +16,7 @@
 from irisshelf.catalog import directory
 from irisshelf.gateway import messages
 from irisshelf.gateway import metrics
-from irisshelf.gateway.servers import reach
+from irisshelf.gateway.servers import reachability
 from irisshelf.gateway.servers import servers as servers_module
 from irisshelf.observe import decision_log
 from irisshelf.routing import suspects
@@ -30,7 +30,7 @@
 _RECENT_BODY_BYTES = 4096
 # A server that has ended is not asked again so soon: none is back by then. One
 # that listens may end the next moment.
-_ENDED_S = 1.0
+_EXIT_KNOWN_S = 1.0
 
 # A server that has gone may have ended under a suspect request at another
 # instance as long as the message about it, which is sent twice, may take.
@@ -40,14 +40,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
+class SuspectPlacement:
     """Where a suspect request may go; see ``suspects.Place``."""
 
     server: directory.BackendServer | None
     uncertain: bool
 
 
-class Crashes:
+class CrashTracker:
     """Knows contents that servers ended under, and tells of them.
 
     Args:
@@ -59,8 +59,8 @@
 
     Attributes:
         suspects: What is known of contents.
-        on_end: Told of an end that this instance saw, to tell the others.
-        on_good: Told of a content that is cleared, to tell the others.
+        on_crash: Told of an end that this instance saw, to tell the others.
+        on_clear: Told of a content that is cleared, to tell the others.
     """
 
     def __init__(
@@ -73,8 +73,8 @@
         now: Callable[[], float],
     ):
         self.suspects = suspects.Suspects()
-        self.on_end: Callable[[bytes, suspects.End], None] = _tell_nobody
-        self.on_good: Callable[[bytes], None] = _tell_nobody
+        self.on_crash: Callable[[bytes, suspects.End], None] = _no_peers
+        self.on_clear: Callable[[bytes], None] = _no_peers
         self._servers = servers
         self._listed = listed
         self._log = log
@@ -84,8 +84,8 @@
             maxlen=_RECENT
         )
         # By life: when it was found to have ended.
-        self._ended_s: dict[str, float] = {}
-        self._asking: dict[str, gevent.Greenlet] = {}
+        self._exited_s: dict[str, float] = {}
+        self._probes: dict[str, gevent.Greenlet] = {}
 
     def verdict(self, job: messages.Job) -> suspects.Verdict | None:
         """Returns what is thought of a request; None if it is clear.
@@ -99,9 +99,9 @@
         found = self.suspects.judge(_content(job), self._now())
         return None if found.stage is suspects.Stage.CLEAR else found
 
-    def may_go_to(
+    def place_suspect(
         self, job: messages.Job, verdict: suspects.Verdict, avoid: set[str]
-    ) -> Place:
+    ) -> SuspectPlacement:
         """Returns the one server that a suspect request may go to, if any."""
         known = {
             server.server_id: server
@@ -112,13 +112,13 @@
         gone = {
             name
             for name, server in known.items()
-            if self._servers.ended_for_s(server) <= _PRESUMED_S
+            if self._servers.exited_for_s(server) <= _PRESUMED_S
         }
         fit = [
             name
             for name, server in known.items()
             if name in gone
-            or (name not in avoid and not self._servers.out_of_reach(server))
+            or (name not in avoid and not self._servers.is_unreachable(server))
         ]
         keys = {end.server for end in verdict.ends}
         found = suspects.place(
@@ -129,25 +129,29 @@
             ends=len(verdict.ends),
         )
         server = None if found.server is None else known[found.server]
-        return Place(server=server, uncertain=found.uncertain)
+        return SuspectPlacement(server=server, uncertain=found.uncertain)
 
-    def broke(self, job: messages.Job, server: directory.BackendServer) -> bool:
+    def record_disconnect(
+        self, job: messages.Job, server: directory.BackendServer
+    ) -> bool:
         """Takes that a connection broke before anything of an answer came.
 
         Returns:
             Whether the request looks as if it had ended the server.
         """
-        if not self.has_ended(server) or _asked(job) in self._recent:
+        if not self.has_exited(server) or _asked(job) in self._recent:
             return False
         end = suspects.End(
             server=directory.key_of(server.server_id), at_s=self._now()
         )
         content = _content(job)
-        if self._take_end(content, end, job.ask.request_id, server.server_id):
-            self.on_end(content, end)
+        if self._apply_crash(
+            content, end, job.ask.request_id, server.server_id
+        ):
+            self.on_crash(content, end)
         return True
 
-    def served(self, job: messages.Job) -> None:
+    def record_success(self, job: messages.Job) -> None:
         """Takes that a request was answered well."""
         if len(job.inbound.body) <= _RECENT_BODY_BYTES:
             self._recent.append(_asked(job))
@@ -155,9 +159,11 @@
             return
         content = _content(job)
         if self._clear(content, job.ask.request_id):
-            self.on_good(content)
+            self.on_clear(content)
 
-    def refused(self, job: messages.Job, verdict: suspects.Verdict) -> None:
+    def record_refusal(
+        self, job: messages.Job, verdict: suspects.Verdict
+    ) -> None:
         """Takes that a request is refused for what servers ended under."""
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
@@ -168,7 +174,7 @@
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
-    def heard_end(self, content: bytes, end: suspects.End) -> None:
+    def receive_crash(self, content: bytes, end: suspects.End) -> None:
         """Takes an end that another instance has seen, if it is confirmed here.
 
         A datagram may say anything. It counts only if this instance finds the
@@ -176,21 +182,21 @@
         """
         server = self._servers.by_key(end.server)
         if server is None:
-            if self._servers.left_lately(end.server):
-                self._take_heard(content, end, "")
+            if self._servers.recently_delisted(end.server):
+                self._apply_reported_crash(content, end, "")
             return
-        if self.has_ended(server):
-            self._take_heard(content, end, server.server_id)
+        if self.has_exited(server):
+            self._apply_reported_crash(content, end, server.server_id)
 
-    def heard_good(self, content: bytes) -> None:
+    def receive_clear(self, content: bytes) -> None:
         """Takes that another instance has a good answer to a content."""
         self._clear(content, "")
 
-    def caught_up(self, content: bytes, end: suspects.End) -> None:
+    def merge_crash(self, content: bytes, end: suspects.End) -> None:
         """Takes what a neighbour has answered to this instance's question."""
-        self._take_end(content, end, "", "")
+        self._apply_crash(content, end, "", "")
 
-    def has_ended(self, server: directory.BackendServer) -> bool:
+    def has_exited(self, server: directory.BackendServer) -> bool:
         """Tells whether a listed server's process has ended.
 
         A reset alone says nothing: connections are reset, and die while an
@@ -204,11 +210,14 @@
         if listed.server_id != server.server_id:
             return True
         name = server.server_id
-        if self._now() - self._ended_s.get(name, float("-inf")) < _ENDED_S:
+        if (
+            self._now() - self._exited_s.get(name, float("-inf"))
+            < _EXIT_KNOWN_S
+        ):
             return True
-        if name not in self._asking:
-            self._asking[name] = gevent.spawn(self._ask, server)
-        return self._asking[name].get()
+        if name not in self._probes:
+            self._probes[name] = gevent.spawn(self._probe, server)
+        return self._probes[name].get()
 
     def _may_be_suspect(self, job: messages.Job) -> bool:
         if not self.suspects:
@@ -219,40 +228,44 @@
         )
         return self.suspects.has_shape(shape)
 
-    def _ask(self, server: directory.BackendServer) -> bool:
+    def _probe(self, server: directory.BackendServer) -> bool:
         try:
-            ended = self._refuses(server)
+            ended = self._is_refusing(server)
         finally:
-            del self._asking[server.server_id]
+            del self._probes[server.server_id]
         if ended:
             now = self._now()
-            self._ended_s = {
-                name: ended_s
-                for name, ended_s in self._ended_s.items()
-                if now - ended_s < _ENDED_S
+            self._exited_s = {
+                name: exited_s
+                for name, exited_s in self._exited_s.items()
+                if now - exited_s < _EXIT_KNOWN_S
             }
-            self._ended_s[server.server_id] = now
+            self._exited_s[server.server_id] = now
         return ended
 
-    def _refuses(self, server: directory.BackendServer) -> bool:
+    def _is_refusing(self, server: directory.BackendServer) -> bool:
         """Tells whether nobody listens at a server's address."""
         self._metrics.connects.labels(server.service).inc()
         try:
-            conn = client.connect(server.address, timeout_s=reach.CONNECT_S)
+            conn = client.connect(
+                server.address, timeout_s=reachability.CONNECT_TIMEOUT_S
+            )
         except errors.ConnectError as exc:
-            self._servers.unreachable(server, exc, "")
+            self._servers.record_unreachable(server, exc, "")
             return not exc.silent
-        self._servers.links.put_new(server, conn)
+        self._servers.connection_pool.add_idle(server, conn)
         return False
 
-    def _take_heard(self, content: bytes, end: suspects.End, name: str) -> None:
+    def _apply_reported_crash(
+        self, content: bytes, end: suspects.End, name: str
+    ) -> None:
         known = any(suspects.content_of(*a) == content for a in self._recent)
         if known:
-            self.on_good(content)
+            self.on_clear(content)
             return
-        self._take_end(content, end, "", name)
+        self._apply_crash(content, end, "", name)
 
-    def _take_end(
+    def _apply_crash(
         self, content: bytes, end: suspects.End, request: str, name: str
     ) -> bool:
         if not self.suspects.ended(content, end, self._now()):
@@ -289,5 +302,5 @@
     return suspects.content_of(*_asked(job))
 
 
-def _tell_nobody(*facts: object) -> None:
+def _no_peers(*facts: object) -> None:
     """Stands in until there are others to tell."""
--- a/irisshelf/gateway/servers/eligibility.py
+++ b/irisshelf/gateway/servers/eligibility.py
@@ -96,7 +96,7 @@
             listed is not None and listed.state is directory.ServerState.LEAVING
         ) or self.availability.is_leaving(server.server_id)
 
-    def pausing(self, service: str) -> tuple[directory.BackendServer, ...]:
+    def paused(self, service: str) -> tuple[directory.BackendServer, ...]:
         """Returns the servers of a service that take no request for a while."""
         return tuple(
             server
@@ -157,11 +157,11 @@
             return None
         return self._evacuations.lasted_s(self._now())
 
-    def askable(self) -> tuple[directory.BackendServer, ...]:
+    def probeable(self) -> tuple[directory.BackendServer, ...]:
         """Returns the servers that may be asked for a connection."""
         return self._not_evacuated(self._listed.servers())
 
-    def entries_told(self, changes: Iterable[directory.Change]) -> None:
+    def update_from_entries(self, changes: Iterable[directory.Change]) -> None:
         """Takes what servers' entries say of coldness."""
         now = self._now()
         for change in changes:
@@ -217,7 +217,7 @@
         turn_s = self.cold.turn_s(server.server_id, bounds, self.members(), now)
         return min(left_s, turn_s)
 
-    def sent_to_cold(self, server: directory.BackendServer) -> None:
+    def record_sent_to_cold(self, server: directory.BackendServer) -> None:
         """Takes that a server that is cold gets a request from here."""
         bounds = self.cold_bounds(server.service)
         if bounds is not None:
--- a/irisshelf/gateway/servers/reports.py
+++ b/irisshelf/gateway/servers/server_reports.py
@@ -12,13 +12,13 @@
 from irisshelf.routing.direct import availability as availability_module
 
 
-class Reports:
+class ReportHandler:
     """Takes the reports of servers.
 
     Args:
         availability: Which servers take requests.
         on_load: Takes a server's load.
-        on_rest: Takes that a server asks for rest.
+        on_backoff: Takes that a server asks for rest.
         tell: Tells other instances.
         log: Takes decisions.
         counts: Metrics.
@@ -30,21 +30,21 @@
         *,
         availability: availability_module.Availability,
         on_load: Callable[[directory.BackendServer, messages.Load], None],
-        on_rest: Callable[[directory.BackendServer], None],
-        tell: Callable[[facts.Fact], None],
+        on_backoff: Callable[[directory.BackendServer], None],
+        publish: Callable[[facts.Fact], None],
         log: decision_log.DecisionLog,
         counts: metrics.Metrics,
         now: Callable[[], float],
     ):
         self._availability = availability
         self._on_load = on_load
-        self._on_rest = on_rest
-        self._tell = tell
+        self._on_backoff = on_backoff
+        self._publish = publish
         self._log = log
         self._metrics = counts
         self._now = now
 
-    def take(
+    def handle(
         self,
         server: directory.BackendServer,
         report: messages.ServerReport,
@@ -58,19 +58,21 @@
             request: The request's id.
         """
         for header in report.unreadable:
-            self._unreadable(server, header, request)
+            self._log_unreadable(server, header, request)
         if report.absent:
             # The report is another server's.
-            self._absent(server, request)
+            self._handle_absent(server, request)
             return
         if report.load is not None:
             self._on_load(server, report.load)
         if report.leaving:
-            self._leaving(server, request)
+            self._handle_leaving(server, request)
         if report.rest_s:
-            self._resting(server, report.rest_s, request)
+            self._handle_backoff(server, report.rest_s, request)
 
-    def answered(self, server: directory.BackendServer, sent_s: float) -> None:
+    def record_response(
+        self, server: directory.BackendServer, sent_s: float
+    ) -> None:
         """Takes that a server has taken a request and answered it.
 
         Args:
@@ -84,31 +86,35 @@
                 service=server.service,
             )
 
-    def _absent(self, server: directory.BackendServer, request: str) -> None:
+    def _handle_absent(
+        self, server: directory.BackendServer, request: str
+    ) -> None:
         if self._availability.is_absent(server.server_id, self._now()):
             self._log_pause(server, "absent", request)
 
-    def _leaving(self, server: directory.BackendServer, request: str) -> None:
+    def _handle_leaving(
+        self, server: directory.BackendServer, request: str
+    ) -> None:
         if self._availability.leaves(server.server_id):
             self._log_pause(server, "leaving", request)
-            self._tell_pause(server, availability_module.LONGEST_TOLD_S)
+            self._publish_pause(server, availability_module.LONGEST_TOLD_S)
 
-    def _resting(
+    def _handle_backoff(
         self, server: directory.BackendServer, rest_s: float, request: str
     ) -> None:
-        self._on_rest(server)
+        self._on_backoff(server)
         if self._availability.rests(server.server_id, rest_s, self._now()):
             self._log_pause(server, "resting", request, rest_s)
-            self._tell_pause(server, rest_s)
+            self._publish_pause(server, rest_s)
 
-    def _tell_pause(
-        self, server: directory.BackendServer, left_s: float
+    def _publish_pause(
+        self, server: directory.BackendServer, remaining_s: float
     ) -> None:
         key = directory.key_of(server.server_id)
-        until_s = self._now() + left_s
-        self._tell(facts.ServerPause(server=key, until_s=until_s))
+        until_s = self._now() + remaining_s
+        self._publish(facts.ServerPause(server=key, until_s=until_s))
 
-    def _unreadable(
+    def _log_unreadable(
         self, server: directory.BackendServer, header: str, request: str
     ) -> None:
         self._metrics.reports.labels("unreadable").inc()
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -14,10 +14,10 @@
 from irisshelf.gateway import messages
 from irisshelf.gateway import metrics
 from irisshelf.gateway import settings
+from irisshelf.gateway.servers import connection_pool
 from irisshelf.gateway.servers import eligibility
-from irisshelf.gateway.servers import links
-from irisshelf.gateway.servers import reach
-from irisshelf.gateway.servers import reports
+from irisshelf.gateway.servers import reachability
+from irisshelf.gateway.servers import server_reports
 from irisshelf.observe import decision_log
 from irisshelf.routing import retry_budget
 from irisshelf.routing.direct import overload
@@ -27,7 +27,7 @@
 from irisshelf.transport import errors
 
 # For so long a server that is not listed any more is known to have left.
-_LEFT_S = 60.0
+_DELISTED_KNOWN_S = 60.0
 
 
 class Servers:
@@ -56,46 +56,46 @@
     ):
         self.cfg = cfg
         self.eligible = eligible
-        self.links = links.Links(now=now)
-        self.reach = reach.Reach(
-            links=self.links,
-            listed=eligible.askable,
-            heard_s=self._heard_s,
-            on_reached=self._reached,
-            on_lost=self._lost,
+        self.connection_pool = connection_pool.ConnectionPool(now=now)
+        self.prober = reachability.ReachabilityProber(
+            connection_pool=self.connection_pool,
+            listed=eligible.probeable,
+            last_activity_s=self._last_activity_s,
+            on_reached=self._on_reached,
+            on_unreachable=self._on_unreachable,
             rng=rng,
             now=now,
-            asks=cfg.policy.reach,
+            enabled=cfg.policy.reach,
         )
-        self.tell: Callable[[facts.Fact], None] = _tell_nobody
-        self.reports = reports.Reports(
+        self.publish: Callable[[facts.Fact], None] = _no_peers
+        self.reports = server_reports.ReportHandler(
             availability=eligible.availability,
-            on_load=self.told_load,
-            on_rest=self._rested,
-            tell=lambda fact: self.tell(fact),
+            on_load=self.record_reported_load,
+            on_backoff=self._on_backoff,
+            publish=lambda fact: self.publish(fact),
             log=log,
             counts=counts,
             now=now,
         )
         self.fleet = fleet_size.FleetSize(alone=not cfg.seeds)
         # When a server's process was first found to have ended.
-        self._ended_s: dict[str, float] = {}
+        self._exited_s: dict[str, float] = {}
         self._listed = listed
         self._log = log
         self._metrics = counts
         self._rng = rng
         self._now = now
         self._by_key: dict[bytes, directory.BackendServer] = {}
-        # Ids in the list by their keys; those of lives differ.
+        # Ids in the list by their keys; those of incarnations differ.
         self._ids: dict[bytes, str] = {}
-        self._left_s: dict[bytes, float] = {}
+        self._delisted_s: dict[bytes, float] = {}
         self._choosers: dict[str, server_choice.Chooser] = {}
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
         self._overloads: dict[str, overload.Overload] = collections.defaultdict(
             overload.Overload
         )
 
-    def isolated(self, services: Iterable[str]) -> bool:
+    def is_isolated(self, services: Iterable[str]) -> bool:
         """Tells whether no server at all can be reached from here.
 
         All servers are hardly lost at once: it is this instance that is cut
@@ -107,7 +107,7 @@
                 of reach.
         """
         servers = [s for name in services for s in self.eligible.usable(name)]
-        return bool(servers) and all(map(self.out_of_reach, servers))
+        return bool(servers) and all(map(self.is_unreachable, servers))
 
     def chooser(self, service: str) -> server_choice.Chooser:
         """Returns what chooses the servers of a service."""
@@ -140,7 +140,7 @@
         )
         return found
 
-    def told_load(
+    def record_reported_load(
         self, server: directory.BackendServer, load: messages.Load
     ) -> None:
         """Takes a server's load, and tells other instances."""
@@ -149,9 +149,9 @@
         book = self.chooser(server.service).book
         book.told(server.server_id, work=work, at_s=now)
         key = directory.key_of(server.server_id)
-        self.tell(facts.ServerLoad(server=key, work=work, at_s=now))
+        self.publish(facts.ServerLoad(server=key, work=work, at_s=now))
 
-    def sent_prompt(
+    def record_sent_prompt(
         self, server: directory.BackendServer, asked: prompt.Prompt
     ) -> None:
         """Notes what a server has read by now, and tells other instances."""
@@ -159,55 +159,55 @@
         fresh = chooser.sent(asked, server.server_id, self._now())
         key = directory.key_of(server.server_id)
         for part in fresh:
-            self.tell(facts.PartHeld(server=key, part=part))
+            self.publish(facts.PartHeld(server=key, part=part))
 
     @functools.singledispatchmethod
-    def heard_fact(self, fact: facts.Fact) -> None:
+    def apply_fact(self, fact: facts.Fact) -> None:
         """Takes what another instance tells of a server."""
         raise TypeError(f"fact is {fact!r}, allowed: {facts.Fact}")
 
-    @heard_fact.register
+    @apply_fact.register
     def _(self, fact: facts.PartHeld) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
             held = self.chooser(server.service).holdings
             held.heard(fact.part, server.server_id, self._now())
 
-    @heard_fact.register
+    @apply_fact.register
     def _(self, fact: facts.ServerCold) -> None:
         entry_id = self._ids.get(fact.server)
         server = None if entry_id is None else self._listed.get(entry_id)
         if server is not None:
             now = self._now()
-            left_s = fact.until_s - now
-            self.eligible.cold.assume(server.server_id, left_s, now)
+            remaining_s = fact.until_s - now
+            self.eligible.cold.assume(server.server_id, remaining_s, now)
 
-    @heard_fact.register
+    @apply_fact.register
     def _(self, fact: facts.ServerPause) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
             now = self._now()
-            left_s = fact.until_s - now
-            self.eligible.availability.told(server.server_id, left_s, now)
-            self._rested(server)
+            remaining_s = fact.until_s - now
+            self.eligible.availability.told(server.server_id, remaining_s, now)
+            self._on_backoff(server)
 
-    @heard_fact.register
+    @apply_fact.register
     def _(self, fact: facts.ServerLoad) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
             book = self.chooser(server.service).book
             book.told(server.server_id, work=fact.work, at_s=fact.at_s)
 
-    def tell_cold(self, changes: Iterable[directory.Change]) -> None:
+    def publish_cold(self, changes: Iterable[directory.Change]) -> None:
         """Tells other instances of servers that the store says are cold."""
         now = self._now()
         for change in changes:
             if change.server is not None and change.server.cold_s:
                 key = directory.key_of(change.entry_id)
                 until_s = now + change.server.cold_s
-                self.tell(facts.ServerCold(server=key, until_s=until_s))
+                self.publish(facts.ServerCold(server=key, until_s=until_s))
 
-    def list_changed(self) -> None:
+    def on_list_changed(self) -> None:
         """Forgets what is known of servers that are not listed any more."""
         servers = self._listed.servers()
         names = frozenset(server.server_id for server in servers)
@@ -219,63 +219,63 @@
             directory.key_of(server.entry_id): server.entry_id
             for server in servers
         }
-        self._note_left(before.keys() - self._by_key.keys())
+        self._note_delisted(before.keys() - self._by_key.keys())
         for chooser in self._choosers.values():
             chooser.book.keep(names)
             chooser.full_loads.keep(names)
-        self.links.keep(names)
-        self.reach.keep(names)
+        self.connection_pool.retain(names)
+        self.prober.retain(names)
         self.eligible.cold.keep(names)
         self.eligible.availability.keep(names, self._now())
-        for name in self._ended_s.keys() - names:
-            del self._ended_s[name]
-        self._break_off_ended(servers)
+        for name in self._exited_s.keys() - names:
+            del self._exited_s[name]
+        self._abort_replaced(servers)
         self._metrics.servers.set(len(servers))
 
     def by_key(self, key: bytes) -> directory.BackendServer | None:
         """Returns the listed server that has a short key."""
         return self._by_key.get(key)
 
-    def left_lately(self, key: bytes) -> bool:
+    def recently_delisted(self, key: bytes) -> bool:
         """Tells whether a server was listed until a short while ago."""
-        left_s = self._left_s.get(key, float("-inf"))
-        return self._now() - left_s < _LEFT_S
+        delisted_s = self._delisted_s.get(key, float("-inf"))
+        return self._now() - delisted_s < _DELISTED_KNOWN_S
 
-    def _note_left(self, keys: Iterable[bytes]) -> None:
+    def _note_delisted(self, keys: Iterable[bytes]) -> None:
         now = self._now()
-        self._left_s = {
-            key: left_s
-            for key, left_s in self._left_s.items()
-            if now - left_s < _LEFT_S
+        self._delisted_s = {
+            key: delisted_s
+            for key, delisted_s in self._delisted_s.items()
+            if now - delisted_s < _DELISTED_KNOWN_S
         }
-        self._left_s |= dict.fromkeys(keys, now)
+        self._delisted_s |= dict.fromkeys(keys, now)
 
-    def _break_off_ended(
+    def _abort_replaced(
         self, servers: tuple[directory.BackendServer, ...]
     ) -> None:
-        lives = {server.entry_id: server.server_id for server in servers}
-        count = self.links.break_off_ended(lives)
+        incarnations = {server.entry_id: server.server_id for server in servers}
+        count = self.connection_pool.abort_replaced(incarnations)
         if count:
             self._log.instance("exchanges_of_ended_lives", broken_off=count)
 
-    def heard(self, server: directory.BackendServer) -> None:
+    def record_activity(self, server: directory.BackendServer) -> None:
         """Takes that bytes have come from a server."""
         book = self.chooser(server.service).book
         book.heard(server.server_id, self._now())
 
-    def ended_for_s(self, server: directory.BackendServer) -> float:
+    def exited_for_s(self, server: directory.BackendServer) -> float:
         """Returns for how long a server's process is known to have ended.
 
         Infinite if it is not known to.
         """
-        ended_s = self._ended_s.get(server.server_id, float("-inf"))
-        return self._now() - ended_s
+        exited_s = self._exited_s.get(server.server_id, float("-inf"))
+        return self._now() - exited_s
 
-    def out_of_reach(self, server: directory.BackendServer) -> bool:
+    def is_unreachable(self, server: directory.BackendServer) -> bool:
         """Tells whether a server was out of reach the last time."""
         return self.chooser(server.service).book.unreachable(server.server_id)
 
-    def unreachable(
+    def record_unreachable(
         self,
         server: directory.BackendServer,
         exc: errors.ConnectError,
@@ -283,12 +283,12 @@
     ) -> None:
         """Takes that no connection came about; asks for one from now on."""
         what = server_book.Seen.UNREACHABLE
-        self.seen(server, what, request, str(exc))
+        self.record_observation(server, what, request, str(exc))
         if not exc.silent:
-            self._ended_s.setdefault(server.server_id, self._now())
-        self.reach.lost(server, silent=exc.silent)
+            self._exited_s.setdefault(server.server_id, self._now())
+        self.prober.start_probing(server, silent=exc.silent)
 
-    def doubt_connections(
+    def close_suspect_connections(
         self, server: directory.BackendServer, silent_since_s: float
     ) -> None:
         """Gives up connections that may be as dead as one that is silent.
@@ -297,7 +297,7 @@
             server: Where they lead to.
             silent_since_s: Since when one of them has been silent.
         """
-        count = self.links.drop_rested(server, before_s=silent_since_s)
+        count = self.connection_pool.close_idle(server, before_s=silent_since_s)
         if count:
             self._log.instance(
                 "connections_doubted",
@@ -306,35 +306,35 @@
                 closed=count,
             )
 
-    def _rested(self, server: directory.BackendServer) -> None:
+    def _on_backoff(self, server: directory.BackendServer) -> None:
         chooser = self.chooser(server.service)
         chooser.full_loads.rests(server.server_id, self._now())
 
-    def _heard_s(self, server: directory.BackendServer) -> float:
+    def _last_activity_s(self, server: directory.BackendServer) -> float:
         return self.chooser(server.service).book.heard_s(server.server_id)
 
-    def _reached(self, server: directory.BackendServer) -> None:
+    def _on_reached(self, server: directory.BackendServer) -> None:
         self._metrics.connects.labels(server.service).inc()
-        if self.out_of_reach(server):
+        if self.is_unreachable(server):
             self._log.instance(
                 "server_in_reach",
                 server=server.server_id,
                 address=server.address,
                 service=server.service,
             )
-        if server.server_id in self._ended_s:
+        if server.server_id in self._exited_s:
             # Its process has started anew; its entry tells so a little later.
-            del self._ended_s[server.server_id]
+            del self._exited_s[server.server_id]
             self.eligible.assume_cold(server)
         book = self.chooser(server.service).book
         book.reached(server.server_id, self._now())
 
-    def _lost(
+    def _on_unreachable(
         self, server: directory.BackendServer, exc: errors.ConnectError
     ) -> None:
-        self.unreachable(server, exc, "")
+        self.record_unreachable(server, exc, "")
 
-    def seen(
+    def record_observation(
         self,
         server: directory.BackendServer,
         what: server_book.Seen,
@@ -360,5 +360,5 @@
             )
 
 
-def _tell_nobody(fact: facts.Fact) -> None:
+def _no_peers(fact: facts.Fact) -> None:
     """Stands in until there are others to tell."""
--- a/irisshelf/platform/stand_in/entry.py
+++ b/irisshelf/platform/stand_in/entry.py
@@ -18,7 +18,7 @@
 from irisshelf.gateway.knowledge import datagrams
 from irisshelf.gateway.knowledge import fact_gossip
 from irisshelf.gateway.knowledge import follower
-from irisshelf.gateway.requests import front
+from irisshelf.gateway.requests import frontend
 from irisshelf.observe import decision_log
 from irisshelf.platform import http_dialect
 from irisshelf.platform import store_feed
@@ -80,7 +80,7 @@
             log=log,
             rng=random.Random(1),
         )
-        self._front = front.Front(inst=self.inst)
+        self._front = frontend.Frontend(inst=self.inst)
         self.listener = listener.Listener(
             address=_ANY_PORT,
             limits=self._front.limits,
@@ -108,10 +108,10 @@
         self._gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
             roster=self.roster,
-            on_fact=self.inst.servers.heard_fact,
+            on_fact=self.inst.servers.apply_fact,
             rng=random.Random(2),
         )
-        self.inst.servers.tell = self._gossip.tell
+        self.inst.servers.publish = self._gossip.tell
         self._greenlets = [
             gevent.spawn(self.follower.run, table) for table in feed.Table
         ]
@@ -128,5 +128,5 @@
         """Ends everything."""
         gevent.killall(self._greenlets)
         self.listener.stop_accepting()
-        self.inst.servers.reach.close()
+        self.inst.servers.prober.close()
         os.close(self._log_fd)
--- a/irisshelf/tests/test_cold_start.py
+++ b/irisshelf/tests/test_cold_start.py
@@ -328,9 +328,9 @@
     one.away_s = 0.5
     one.on_return = lambda: None
     one.crash()
-    while not cold_world.inst.servers.out_of_reach(listed):
+    while not cold_world.inst.servers.is_unreachable(listed):
         cold_world.ask("/alarm/1")
-    cold_world.wait(lambda: not cold_world.inst.servers.out_of_reach(listed))
+    cold_world.wait(lambda: not cold_world.inst.servers.is_unreachable(listed))
     cold = cold_world.inst.eligible.cold
     assert cold.left_s(one.server_id, cold_world.inst.now()) > 2.0
 
@@ -377,7 +377,7 @@
         server=directory.key_of(one.server_id),
         until_s=cold_world.inst.now() + 2.0,
     )
-    cold_world.inst.servers.heard_fact(fact)
+    cold_world.inst.servers.apply_fact(fact)
     cold = cold_world.inst.eligible.cold
     left_s = cold.left_s(listed.server_id, cold_world.inst.now())
     assert 1.9 < left_s <= 2.0
@@ -385,7 +385,7 @@
 
 def test_what_the_store_says_of_coldness_is_told(cold_world):
     told = []
-    cold_world.inst.servers.tell = told.append
+    cold_world.inst.servers.publish = told.append
     _cool(cold_world, cold_world.plain[0])
     colds = [fact for fact in told if isinstance(fact, facts.ServerCold)]
     key = directory.key_of(cold_world.plain[0].server_id)
--- a/irisshelf/tests/test_many_connections.py
+++ b/irisshelf/tests/test_connection_limit.py
@@ -9,7 +9,7 @@
 import pytest
 
 from irisshelf.gateway import listener
-from irisshelf.gateway.requests import front
+from irisshelf.gateway.requests import frontend
 from irisshelf.platform.stand_in import server
 from irisshelf.platform.stand_in import world as world_module
 from irisshelf.transport import client
@@ -20,7 +20,7 @@
 @pytest.fixture
 def narrow(world):
     """The world's instance, with few connections at a time."""
-    callers = front.Front(inst=world.inst)
+    callers = frontend.Frontend(inst=world.inst)
     made = listener.Listener(
         address="127.0.0.1:0",
         limits=callers.limits,
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -130,16 +130,16 @@
     )
     server = fleet.inst.directory.of("crew")[0]
     fleet.plain[0].close()
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
 
 
 def test_a_server_that_has_just_been_reached_may_end(fleet):
     """A reset, and the end of the same server right after it."""
     (one,) = fleet.plain[:1]
     server = fleet.inst.directory.get(one.server_id)
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
     one.close()
-    assert fleet.inst.crashes.has_ended(server)
+    assert fleet.inst.crashes.has_exited(server)
 
 
 def test_a_stream_under_way_is_not_blamed(fleet):
@@ -167,9 +167,9 @@
             server=directory.key_of(one.server_id),
             at_s=boottime.now(),
         )
-        fleet.inst.crashes.heard_end(_CONTENT, end)
+        fleet.inst.crashes.receive_crash(_CONTENT, end)
     stranger = suspects.End(server=b"stray", at_s=boottime.now())
-    fleet.inst.crashes.heard_end(_CONTENT, stranger)
+    fleet.inst.crashes.receive_crash(_CONTENT, stranger)
     now = boottime.now()
     verdict = fleet.inst.crashes.suspects.judge(_CONTENT, now)
     assert len(verdict.ends) == ended
@@ -182,7 +182,7 @@
     end = suspects.End(
         server=directory.key_of(gone.server_id), at_s=boottime.now()
     )
-    fleet.inst.crashes.heard_end(_CONTENT, end)
+    fleet.inst.crashes.receive_crash(_CONTENT, end)
     assert _stages(fleet)[0] == "suspect"
 
 
--- a/irisshelf/tests/test_evacuation.py
+++ b/irisshelf/tests/test_evacuation.py
@@ -88,7 +88,7 @@
         places.inst.directory.get(one.server_id) for one in _of(places, "a")
     ]
     for one in servers:
-        places.inst.servers.reach.doubt(one)
+        places.inst.servers.prober.probe_if_silent(one)
     gevent.sleep(0.1)
     assert all(one.accepted == 0 for one in _of(places, "a"))
 
--- a/irisshelf/tests/test_gateway_faults.py
+++ b/irisshelf/tests/test_gateway_faults.py
@@ -217,7 +217,7 @@
     assert (answer.status, answer.body) == (200, _ALL_EVENTS)
     (lost,) = [s for s in world.engines if s.closed]
     listed = world.inst.directory.get(lost.server_id)
-    assert world.inst.servers.out_of_reach(listed)
+    assert world.inst.servers.is_unreachable(listed)
 
 
 def test_a_stream_that_may_run_once_waits_for_a_silent_server(world):
@@ -287,7 +287,7 @@
     )
     monkeypatch.setattr(
         world.inst.servers,
-        "unreachable",
+        "record_unreachable",
         lambda server, exc, request: tried.append(request),
     )
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
--- a/irisshelf/tests/test_outside_bytes.py
+++ b/irisshelf/tests/test_outside_bytes.py
@@ -190,7 +190,7 @@
     for server in world.inst.directory.servers():
         if server.service != "not-ours":
             lost = errors.ConnectError("gone", silent=False)
-            world.inst.servers.unreachable(server, lost, "r1")
+            world.inst.servers.record_unreachable(server, lost, "r1")
     assert world.inst.isolated
     assert not world.inst.ready
 
@@ -425,10 +425,10 @@
     def send(self, address, data):
         """Takes what is passed on."""
 
-    def heard_end(self, content, end):
+    def receive_crash(self, content, end):
         self.ends.append(end)
 
-    def heard_good(self, content):
+    def receive_clear(self, content):
         self.ends.append(content)
 
 
--- a/irisshelf/tests/test_reach.py
+++ b/irisshelf/tests/test_reachability.py
@@ -7,8 +7,8 @@
 from gevent import socket
 
 from irisshelf.catalog import directory
-from irisshelf.gateway.servers import links
-from irisshelf.gateway.servers import reach
+from irisshelf.gateway.servers import connection_pool
+from irisshelf.gateway.servers import reachability
 from irisshelf.testing import clock as clock_module
 from irisshelf.transport import client
 from irisshelf.transport import errors
@@ -39,13 +39,15 @@
         self.tries = []
         self.lost = []
         self.reached = []
-        self.links = links.Links(now=self.clock)
-        self.reach = reach.Reach(
-            links=self.links,
+        self.connection_pool = connection_pool.ConnectionPool(now=self.clock)
+        self.prober = reachability.ReachabilityProber(
+            connection_pool=self.connection_pool,
             listed=lambda: self.listed,
-            heard_s=lambda s: self.heard.get(s.server_id, float("-inf")),
+            last_activity_s=lambda s: self.heard.get(
+                s.server_id, float("-inf")
+            ),
             on_reached=lambda s: self.reached.append(s.server_id),
-            on_lost=self._on_lost,
+            on_unreachable=self._on_unreachable,
             rng=random.Random(1),
             now=self.clock,
             connect=self._connect,
@@ -67,9 +69,9 @@
         self.peers.append(far)
         return client.Connection(sock=near, address=address)
 
-    def _on_lost(self, server, exc):
+    def _on_unreachable(self, server, exc):
         self.lost.append(server.server_id)
-        self.reach.lost(server, silent=exc.silent)
+        self.prober.start_probing(server, silent=exc.silent)
 
     def _sleep(self, seconds):
         self.clock.advance(seconds)
@@ -82,12 +84,17 @@
 
 @pytest.mark.parametrize(
     ("heard_ago_s", "asked"),
-    [(0.0, False), (0.1, False), (reach.SILENT_S, True), (9.0, True)],
+    [
+        (0.0, False),
+        (0.1, False),
+        (reachability.SILENCE_THRESHOLD_S, True),
+        (9.0, True),
+    ],
 )
 def test_only_a_silent_server_is_asked(heard_ago_s, asked):
     network = _Network()
     network.heard["1"] = network.clock() - heard_ago_s
-    network.reach.doubt(_NEAR[0])
+    network.prober.probe_if_silent(_NEAR[0])
     network.settle()
     assert bool(network.tries) is asked
 
@@ -95,27 +102,27 @@
 def test_a_server_that_was_just_reached_is_not_asked_again():
     network = _Network()
     for _ in range(3):
-        network.reach.doubt(_NEAR[0])
+        network.prober.probe_if_silent(_NEAR[0])
         network.settle()
     assert (network.tries, network.reached) == (["1"], ["1"])
     network.clock.advance(1.0)
-    network.reach.doubt(_NEAR[0])
+    network.prober.probe_if_silent(_NEAR[0])
     network.settle()
     assert network.tries == ["1", "1"]
 
 
 def test_the_connection_that_came_about_is_kept():
     network = _Network()
-    network.reach.doubt(_NEAR[0])
+    network.prober.probe_if_silent(_NEAR[0])
     network.settle()
-    assert network.links.take(_NEAR[0], most_idle_s=0.5) is not None
+    assert network.connection_pool.acquire(_NEAR[0], max_idle_s=0.5) is not None
 
 
 def test_a_lost_server_is_asked_until_it_is_back():
     network = _Network()
     network.dark = {"1"}
     network.after_tries = {5: network.dark.clear}
-    network.reach.lost(_NEAR[0], silent=False)
+    network.prober.start_probing(_NEAR[0], silent=False)
     network.settle()
     assert network.lost == ["1"] * 4
     assert network.reached == ["1"]
@@ -125,7 +132,7 @@
     network = _Network()
     network.dark = {"1"}
     network.after_tries = {5: lambda: network.listed.remove(_NEAR[0])}
-    network.reach.lost(_NEAR[0], silent=False)
+    network.prober.start_probing(_NEAR[0], silent=False)
     network.settle()
     assert (len(network.tries), network.reached) == (5, [])
 
@@ -138,7 +145,7 @@
     network.dark = {"1", "2"}
     network.after_tries = {6: network.dark.clear}
     network.silent = silent
-    network.reach.lost(_NEAR[0], silent=silent)
+    network.prober.start_probing(_NEAR[0], silent=silent)
     network.settle()
     assert set(network.tries) == asked
     assert set(network.reached) == asked
@@ -151,7 +158,7 @@
     network.silent = True
     network.dark = {"1"}
     network.after_tries = {9: lambda: network.listed.pop(0)}
-    network.reach.lost(network.listed[0], silent=True)
+    network.prober.start_probing(network.listed[0], silent=True)
     network.settle()
     asked = 1 + 2 * (1 + network.tries.count("1"))
     assert 1 < len(set(network.tries)) <= asked
@@ -163,6 +170,6 @@
     network.dark = {"1"}
     network.delay_s = 1.0
     network.after_tries = {3: network.dark.clear}
-    network.reach.doubt(_NEAR[0])
+    network.prober.probe_if_silent(_NEAR[0])
     network.settle()
     assert (network.lost, network.reached) == ([], ["1"])
--- a/irisshelf/tests/test_regions.py
+++ b/irisshelf/tests/test_regions.py
@@ -97,7 +97,7 @@
         if one.data_centre != "a":
             listed = world.inst.directory.get(one.server_id)
             asked = world.inst.dialect.ask(_inbound(world, parts)).ok_value
-            world.inst.servers.sent_prompt(listed, asked.prompt)
+            world.inst.servers.record_sent_prompt(listed, asked.prompt)
     assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
     (run,) = [run for one in world.engines for run in one.runs]
     assert "kv-fetch" not in run.headers
--- a/irisshelf/tests/test_full_link.py
+++ b/irisshelf/tests/test_saturated_link.py
@@ -31,7 +31,7 @@
 
     def fill():
         monkeypatch.setattr(client, "connect", connect)
-        monkeypatch.setattr(world.inst.servers.reach, "_connect", connect)
+        monkeypatch.setattr(world.inst.servers.prober, "_connect", connect)
 
     return fill
 
@@ -72,7 +72,7 @@
     for name in ("crew", "lm"):
         for listed in world.inst.directory.of(name):
             conn = world.connect_to(listed)
-            world.inst.servers.links.put_new(listed, conn)
+            world.inst.servers.connection_pool.add_idle(listed, conn)
     conn = world.connect()
     full_link()
     for one in [*world.plain, *world.engines]:
@@ -110,7 +110,7 @@
 
     assert world.ask("/valve/1", method="GET", body=b"").status == 200
     # Each send has to connect, whichever server it goes to.
-    world.inst.servers.links.keep(frozenset())
+    world.inst.servers.connection_pool.retain(frozenset())
     for one in world.plain:
         one.always = Fault.SLOW
         one.pause_s = 0.5
--- a/irisshelf/tests/test_server_lives.py
+++ b/irisshelf/tests/test_server_restarts.py
@@ -14,7 +14,7 @@
 from irisshelf.catalog import directory
 from irisshelf.coordination import facts
 from irisshelf.gateway import messages
-from irisshelf.gateway.servers import links as links_module
+from irisshelf.gateway.servers import connection_pool as connection_pool_module
 from irisshelf.platform import documents
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.routing.direct import prompt
@@ -55,21 +55,21 @@
 
 def _load(world, life):
     load = messages.Load(running=9, waiting=9, slots=4)
-    world.inst.servers.told_load(life, load)
+    world.inst.servers.record_reported_load(life, load)
     return lambda of: _book(world).load(of.server_id, world.inst.now()) > 5
 
 
 def _told_by_others(world, life):
     key = directory.key_of(life.server_id)
     news = facts.ServerLoad(server=key, work=18, at_s=world.inst.now())
-    world.inst.servers.heard_fact(news)
+    world.inst.servers.apply_fact(news)
     return lambda of: _book(world).load(of.server_id, world.inst.now()) > 5
 
 
 def _rest(world, life):
     for _ in range(4):
         seen = server_book.Seen.BROKEN
-        world.inst.servers.seen(life, seen, "r1")
+        world.inst.servers.record_observation(life, seen, "r1")
     return lambda of: not _book(world).fit(of.server_id, world.inst.now())
 
 
@@ -77,7 +77,7 @@
     _book(world).seen(
         life.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
     )
-    return world.inst.servers.out_of_reach
+    return world.inst.servers.is_unreachable
 
 
 def _duration(world, life):
@@ -86,7 +86,7 @@
 
 
 def _prompt_held(world, life):
-    world.inst.servers.sent_prompt(life, _PROMPT)
+    world.inst.servers.record_sent_prompt(life, _PROMPT)
     return lambda of: _holds(world, of)
 
 
@@ -94,7 +94,7 @@
     key = directory.key_of(life.server_id)
     chooser = world.inst.servers.chooser("crew")
     for part in chooser.sent(_PROMPT, "another", world.inst.now()):
-        world.inst.servers.heard_fact(facts.PartHeld(server=key, part=part))
+        world.inst.servers.apply_fact(facts.PartHeld(server=key, part=part))
     return lambda of: _holds(world, of)
 
 
@@ -105,9 +105,9 @@
 
 def _connection_at_rest(world, life):
     resting = world.connect_to(world.plain[0])
-    world.inst.servers.links.put_new(life, resting)
-    links = world.inst.servers.links
-    return lambda of: bool(links._idle.get(of.server_id))
+    world.inst.servers.connection_pool.add_idle(life, resting)
+    pool = world.inst.servers.connection_pool
+    return lambda of: bool(pool._idle.get(of.server_id))
 
 
 _KNOWLEDGE = [
@@ -284,8 +284,8 @@
 
 
 def test_connections_in_use_are_forgotten_when_they_end(world):
-    links = world.inst.servers.links
-    assert isinstance(links, links_module.Links)
+    pool = world.inst.servers.connection_pool
+    assert isinstance(pool, connection_pool_module.ConnectionPool)
     for number in range(3):
         world.ask(f"/valve/{number}")
-    assert not links._used
+    assert not pool._in_use
--- a/irisshelf/tests/test_silent_connections.py
+++ b/irisshelf/tests/test_silent_connections.py
@@ -3,8 +3,8 @@
 import pytest
 
 from irisshelf.catalog import directory
-from irisshelf.gateway.requests import watched
-from irisshelf.gateway.servers import links as links_module
+from irisshelf.gateway.requests import monitored_connection
+from irisshelf.gateway.servers import connection_pool as connection_pool_module
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.testing import clock as clock_module
 
@@ -31,28 +31,32 @@
 
 def test_connections_that_rested_before_a_silence_are_closed():
     now = clock_module.FakeClock(start_s=100.0)
-    links = links_module.Links(now=now)
+    pool = connection_pool_module.ConnectionPool(now=now)
     old, new = _Conn(), _Conn()
-    links.put(_SERVER, old, None)
+    pool.release(_SERVER, old, None)
     now.advance(1.0)
-    links.put(_SERVER, new, None)
-    assert links.drop_rested(_SERVER, before_s=100.5) == 1
+    pool.release(_SERVER, new, None)
+    assert pool.close_idle(_SERVER, before_s=100.5) == 1
     assert (old.closed, new.closed) == (True, False)
-    assert links.take(_SERVER, most_idle_s=9.0) is new
-    assert links.take(_SERVER, most_idle_s=9.0) is None
+    assert pool.acquire(_SERVER, max_idle_s=9.0) is new
+    assert pool.acquire(_SERVER, max_idle_s=9.0) is None
 
 
 @pytest.mark.parametrize(("silent_s", "closed"), [(0.2, True), (9.0, False)])
 def test_a_silent_connection_takes_the_others_at_rest_with_it(
     world, silent_s, closed, monkeypatch
 ):
-    monkeypatch.setattr(watched, "SILENT_CONNECTION_S", silent_s)
+    monkeypatch.setattr(
+        monitored_connection, "CONNECTION_SILENCE_LIMIT_S", silent_s
+    )
     rested = {}
     for server in world.inst.directory.of("crew"):
         rested[server.server_id] = world.connect_to(server)
-        world.inst.servers.links.put_new(server, rested[server.server_id])
+        world.inst.servers.connection_pool.add_idle(
+            server, rested[server.server_id]
+        )
     asked = world.inst.directory.of("crew")[0]
-    world.inst.servers.links.put_new(asked, world.connect_to(asked))
+    world.inst.servers.connection_pool.add_idle(asked, world.connect_to(asked))
     for one in world.plain:
         one.always = server_module.Fault.HANG
         if one.server_id != asked.server_id:
