--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -23,7 +23,7 @@
 from irisshelf.gateway.knowledge import follower
 from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.gateway.knowledge import store_updates
-from irisshelf.gateway.requests import front
+from irisshelf.gateway.requests import frontend
 from irisshelf.observe import decision_log
 from irisshelf.store import feed
 from irisshelf.transport import server as caller_side
@@ -117,7 +117,7 @@
             ),
             peers=self._peers,
         )
-        self._front = front.Front(inst=self._inst)
+        self._front = frontend.Frontend(inst=self._inst)
         self._listeners = [
             self._listener(
                 cfg.listen.front, self._front.limits, self._front.handle
@@ -165,10 +165,10 @@
         gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
             membership=self._peers.membership,
-            on_fact=self._inst.servers.heard_fact,
+            on_fact=self._inst.servers.apply_fact,
             rng=self._inst.rng,
         )
-        self._inst.servers.tell = gossip.publish
+        self._inst.servers.publish = gossip.publish
         gevent.spawn(gossip.run)
 
     def _take_members(self, others_here: int) -> None:
