--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -17,7 +17,7 @@
 from irisshelf.gateway import settings
 from irisshelf.observe import decision_log
 from irisshelf.platform import http_dialect
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 
 _BODIES = (1_000, 64_000, 1_000_000)
 _RUNS = 9
@@ -37,13 +37,13 @@
         figures[f"suspects_none_{size}_b_us"] = _best_us(
             lambda i=inst, j=job: _serve(i, j)
         )
-        end = suspects.End(server=b"other", at_s=inst.now())
-        inst.crashes.suspects.ended(b"another content.", end, inst.now())
+        end = crash_suspects.ServerCrash(server_key=b"other", at_s=inst.now())
+        inst.crashes.suspects.record_crash(b"another content.", end, inst.now())
         figures[f"suspects_others_{size}_b_us"] = _best_us(
             lambda i=inst, j=job: _serve(i, j)
         )
         figures[f"suspects_alike_{size}_b_us"] = _best_us(
-            lambda j=job: suspects.content_of(
+            lambda j=job: crash_suspects.request_fingerprint(
                 j.team, j.inbound.method, j.inbound.target, j.inbound.body
             ),
             times=_TIMES * 1000 // size,
--- a/irisshelf/daemon/gate.py
+++ b/irisshelf/daemon/gate.py
@@ -34,7 +34,7 @@
     ) -> outcome.Refusal | None:
         """Waits for admission; returns the refusal if it is not granted."""
         now = self._nd.now()
-        router.budget.arrived(now)
+        router.budget.record_request(now)
         ticket = admission.Ticket(
             request_id=request_id,
             team=team.name,
--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -25,7 +25,7 @@
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 from irisshelf.gateway.servers import crashes as crashes_module
 from irisshelf.observe import decision_log
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 
 _KIND = datagrams_module.Kind.CRASHES
 # Where an instance answers ``CrashGossip.all``.
@@ -114,8 +114,8 @@
         """
         now = boottime.now()
         rows = [
-            (content, end.server, int((now - end.at_s) * 1000))
-            for content, ends in self._crashes.suspects.all(now).items()
+            (content, end.server_key, int((now - end.at_s) * 1000))
+            for content, ends in self._crashes.suspects.snapshot(now).items()
             for end in ends
         ]
         return cbor2.dumps(rows)
@@ -130,7 +130,9 @@
             self._log.problem("crashes_unreadable", detail=str(exc))
             return
         for content, server, age_ms in rows:
-            end = suspects.End(server=server, at_s=now - age_ms / 1000)
+            end = crash_suspects.ServerCrash(
+                server_key=server, at_s=now - age_ms / 1000
+            )
             self._crashes.caught_up(content, end)
 
     def _apply(self, message: _Message) -> None:
@@ -138,11 +140,13 @@
             self._crashes.heard_good(message.content)
             return
         at_s = boottime.now() - message.age_ms / 1000
-        end = suspects.End(server=message.server, at_s=at_s)
+        end = crash_suspects.ServerCrash(server_key=message.server, at_s=at_s)
         self._crashes.heard_end(message.content, end)
 
-    def _tell_end(self, content: bytes, end: suspects.End) -> None:
-        self._tell(content, end.server, end.at_s)
+    def _tell_end(
+        self, content: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
+        self._tell(content, end.server_key, end.at_s)
 
     def _tell_good(self, content: bytes) -> None:
         self._tell(content, None, boottime.now())
--- a/irisshelf/gateway/requests/call.py
+++ b/irisshelf/gateway/requests/call.py
@@ -10,8 +10,8 @@
 from irisshelf.gateway.requests import attempt as attempt_module
 from irisshelf.gateway.requests import placement as placement_module
 from irisshelf.gateway.requests import sends as sends_module
+from irisshelf.routing import crash_suspects
 from irisshelf.routing import outcome
-from irisshelf.routing import suspects
 from irisshelf.routing.direct import server_book
 from irisshelf.routing.direct import server_choice
 from irisshelf.transport import client
@@ -66,7 +66,9 @@
         Returns:
             How it ended, a word for logs and metrics.
         """
-        self._inst.servers.budget(self._job.service).arrived(self._inst.now())
+        self._inst.servers.budget(self._job.service).record_request(
+            self._inst.now()
+        )
         try:
             return self._run()
         finally:
@@ -75,7 +77,7 @@
     def _run(self) -> str:
         while True:
             verdict = self._inst.crashes.verdict(self._job)
-            if verdict and verdict.stage is suspects.Stage.BARRED:
+            if verdict and verdict.stage is crash_suspects.Stage.BARRED:
                 return self._bar(verdict)
             placed = self._placement.next(verdict)
             if placed is None:
@@ -167,7 +169,7 @@
         )
         return stop
 
-    def _bar(self, verdict: suspects.Verdict) -> str:
+    def _bar(self, verdict: crash_suspects.Verdict) -> str:
         """Refuses a request at once that servers ended under.
 
         This very try has not run, which is what 503 says; the caller is told
--- a/irisshelf/gateway/requests/placement.py
+++ b/irisshelf/gateway/requests/placement.py
@@ -11,7 +11,7 @@
 from irisshelf.gateway.requests import admission
 from irisshelf.gateway.requests import sends as sends_module
 from irisshelf.gateway.servers import reach
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.routing.direct import outage
 from irisshelf.routing.direct import server_choice
 from irisshelf.transport import client
@@ -81,7 +81,9 @@
         self._connects = 0
         self._replacement: Placed | None = None
 
-    def next(self, verdict: suspects.Verdict | None) -> Placed | Refused | None:
+    def next(
+        self, verdict: crash_suspects.Verdict | None
+    ) -> Placed | Refused | None:
         """Places the next send.
 
         Args:
@@ -189,7 +191,7 @@
         return self._job.until_s - self._inst.now()
 
     def _choose_suspect(
-        self, verdict: suspects.Verdict
+        self, verdict: crash_suspects.Verdict
     ) -> server_choice.Choice | Refused | None:
         place = self._inst.crashes.may_go_to(
             self._job, verdict, self._sends.avoid
@@ -278,7 +280,7 @@
             self._inst.cfg.policy.patience
             and route.repeatable
             and self._sends.count < route.max_attempts
-            and budget.left(self._inst.now()) >= 1
+            and budget.remaining(self._inst.now()) >= 1
             and not self._inst.crashes.verdict(self._job)
         )
 
--- a/irisshelf/gateway/requests/sends.py
+++ b/irisshelf/gateway/requests/sends.py
@@ -89,7 +89,7 @@
         """
         if not self._retry_taken:
             budget = self._inst.servers.budget(self._job.service)
-            taken = budget.take(self._inst.now())
+            taken = budget.try_take(self._inst.now())
             bounded = self._inst.cfg.policy.retry_budget
             self._retry_taken = taken or not bounded
         return self._retry_taken
--- a/irisshelf/gateway/servers/crashes.py
+++ b/irisshelf/gateway/servers/crashes.py
@@ -1,6 +1,6 @@
 """What one instance does about requests that end the servers that run them.
 
-See ``routing.suspects`` for what is decided; here is what it is decided by:
+See ``routing.crash_suspects`` for what is decided; here is what it is decided by:
 whether a server has ended, what has been answered well of late, and what
 other instances have seen.
 """
@@ -19,7 +19,7 @@
 from irisshelf.gateway.servers import reach
 from irisshelf.gateway.servers import servers as servers_module
 from irisshelf.observe import decision_log
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.transport import client
 from irisshelf.transport import errors
 
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Place:
-    """Where a suspect request may go; see ``suspects.Place``."""
+    """Where a suspect request may go; see ``crash_suspects.DesignatedServer``."""
 
     server: directory.BackendServer | None
     uncertain: bool
@@ -72,8 +72,10 @@
         counts: metrics.Metrics,
         now: Callable[[], float],
     ):
-        self.suspects = suspects.Suspects()
-        self.on_end: Callable[[bytes, suspects.End], None] = _tell_nobody
+        self.suspects = crash_suspects.CrashSuspects()
+        self.on_end: Callable[[bytes, crash_suspects.ServerCrash], None] = (
+            _tell_nobody
+        )
         self.on_good: Callable[[bytes], None] = _tell_nobody
         self._servers = servers
         self._listed = listed
@@ -87,7 +89,7 @@
         self._ended_s: dict[str, float] = {}
         self._asking: dict[str, gevent.Greenlet] = {}
 
-    def verdict(self, job: messages.Job) -> suspects.Verdict | None:
+    def verdict(self, job: messages.Job) -> crash_suspects.Verdict | None:
         """Returns what is thought of a request; None if it is clear.
 
         As long as no content is suspect, which is nearly always, this is one
@@ -97,10 +99,13 @@
         if not self._may_be_suspect(job):
             return None
         found = self.suspects.judge(_content(job), self._now())
-        return None if found.stage is suspects.Stage.CLEAR else found
+        return None if found.stage is crash_suspects.Stage.CLEAR else found
 
     def may_go_to(
-        self, job: messages.Job, verdict: suspects.Verdict, avoid: set[str]
+        self,
+        job: messages.Job,
+        verdict: crash_suspects.Verdict,
+        avoid: set[str],
     ) -> Place:
         """Returns the one server that a suspect request may go to, if any."""
         known = {
@@ -120,13 +125,13 @@
             if name in gone
             or (name not in avoid and not self._servers.out_of_reach(server))
         ]
-        keys = {end.server for end in verdict.ends}
-        found = suspects.place(
+        keys = {end.server_key for end in verdict.crashes}
+        found = crash_suspects.designate_server(
             _content(job),
             fit,
-            ended={name for name in fit if directory.key_of(name) in keys},
-            gone=gone,
-            ends=len(verdict.ends),
+            crashed={name for name in fit if directory.key_of(name) in keys},
+            recently_gone=gone,
+            crash_count=len(verdict.crashes),
         )
         server = None if found.server is None else known[found.server]
         return Place(server=server, uncertain=found.uncertain)
@@ -139,8 +144,8 @@
         """
         if not self.has_ended(server) or _asked(job) in self._recent:
             return False
-        end = suspects.End(
-            server=directory.key_of(server.server_id), at_s=self._now()
+        end = crash_suspects.ServerCrash(
+            server_key=directory.key_of(server.server_id), at_s=self._now()
         )
         content = _content(job)
         if self._take_end(content, end, job.ask.request_id, server.server_id):
@@ -157,26 +162,30 @@
         if self._clear(content, job.ask.request_id):
             self.on_good(content)
 
-    def refused(self, job: messages.Job, verdict: suspects.Verdict) -> None:
+    def refused(
+        self, job: messages.Job, verdict: crash_suspects.Verdict
+    ) -> None:
         """Takes that a request is refused for what servers ended under."""
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
             "request_barred",
             job.ask.request_id,
             content=_content(job).hex(),
-            servers=[end.server.hex() for end in verdict.ends],
+            servers=[end.server_key.hex() for end in verdict.crashes],
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
-    def heard_end(self, content: bytes, end: suspects.End) -> None:
+    def heard_end(
+        self, content: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
         """Takes an end that another instance has seen, if it is confirmed here.
 
         A datagram may say anything. It counts only if this instance finds the
         server ended as well: its entry has gone, or nobody listens there.
         """
-        server = self._servers.by_key(end.server)
+        server = self._servers.by_key(end.server_key)
         if server is None:
-            if self._servers.left_lately(end.server):
+            if self._servers.left_lately(end.server_key):
                 self._take_heard(content, end, "")
             return
         if self.has_ended(server):
@@ -186,7 +195,9 @@
         """Takes that another instance has a good answer to a content."""
         self._clear(content, "")
 
-    def caught_up(self, content: bytes, end: suspects.End) -> None:
+    def caught_up(
+        self, content: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
         """Takes what a neighbour has answered to this instance's question."""
         self._take_end(content, end, "", "")
 
@@ -214,10 +225,10 @@
         if not self.suspects:
             return False
         inbound = job.inbound
-        shape = suspects.shape_of(
+        shape = crash_suspects.fingerprint_prefix(
             job.team, inbound.method, inbound.target, len(inbound.body)
         )
-        return self.suspects.has_shape(shape)
+        return self.suspects.has_prefix(shape)
 
     def _ask(self, server: directory.BackendServer) -> bool:
         try:
@@ -245,17 +256,26 @@
         self._servers.links.put_new(server, conn)
         return False
 
-    def _take_heard(self, content: bytes, end: suspects.End, name: str) -> None:
-        known = any(suspects.content_of(*a) == content for a in self._recent)
+    def _take_heard(
+        self, content: bytes, end: crash_suspects.ServerCrash, name: str
+    ) -> None:
+        known = any(
+            crash_suspects.request_fingerprint(*a) == content
+            for a in self._recent
+        )
         if known:
             self.on_good(content)
             return
         self._take_end(content, end, "", name)
 
     def _take_end(
-        self, content: bytes, end: suspects.End, request: str, name: str
+        self,
+        content: bytes,
+        end: crash_suspects.ServerCrash,
+        request: str,
+        name: str,
     ) -> bool:
-        if not self.suspects.ended(content, end, self._now()):
+        if not self.suspects.record_crash(content, end, self._now()):
             return False
         verdict = self.suspects.judge(content, self._now())
         self._metrics.crashes.labels(verdict.stage.value).inc()
@@ -264,14 +284,14 @@
             content=content.hex(),
             request=request,
             server=name,
-            key=end.server.hex(),
-            ends=len(verdict.ends),
+            key=end.server_key.hex(),
+            ends=len(verdict.crashes),
             stage=verdict.stage.value,
         )
         return True
 
     def _clear(self, content: bytes, request: str) -> bool:
-        if not self.suspects.served(content):
+        if not self.suspects.record_success(content):
             return False
         self._metrics.crashes.labels("cleared").inc()
         self._log.instance(
@@ -286,7 +306,7 @@
 
 
 def _content(job: messages.Job) -> bytes:
-    return suspects.content_of(*_asked(job))
+    return crash_suspects.request_fingerprint(*_asked(job))
 
 
 def _tell_nobody(*facts: object) -> None:
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -130,12 +130,13 @@
         found = self._budgets.get(service)
         if found is None:
             found = retry_budget.RetryBudget(
-                ratio=self.cfg.bounds.retry_share * retry_budget.SHARED_SAFETY,
+                ratio=self.cfg.bounds.retry_share
+                * retry_budget.FLEET_SAFETY_FACTOR,
                 slack=0.0,
                 window_s=self.cfg.bounds.retry_window_s,
             )
             self._budgets[service] = found
-        found.slack = retry_budget.share_of_slack(
+        found.slack = retry_budget.instance_slack(
             self.cfg.bounds.retry_slack, self.fleet.count(self._now())
         )
         return found
--- a/irisshelf/routing/suspects.py
+++ b/irisshelf/routing/crash_suspects.py
@@ -31,7 +31,7 @@
 
 # The users allow three servers to end under a request. Fewer would bar requests
 # that were under way when a rack went down, once with each of two tries.
-ENDS_TO_BAR = 3
+CRASHES_TO_BAR = 3
 # Costs the caller of a content that was blamed wrongly so long; costs one
 # server each time if it was right, which is away for seconds: under 1 in 100
 # of one server's time.
@@ -43,7 +43,7 @@
 _SAME_END_S = 1.0
 # Entries of 300 bytes or so. A flood of contents that end one server each
 # cannot be longer than servers come back.
-_MOST = 2000
+_MAX_ENTRIES = 2000
 _HALF_BYTES = 8
 
 
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class End:
+class ServerCrash:
     """One end of a server.
 
     Attributes:
@@ -64,7 +64,7 @@
         at_s: When, in the reader's seconds.
     """
 
-    server: bytes
+    server_key: bytes
     at_s: float
 
 
@@ -79,14 +79,14 @@
     """
 
     stage: Stage
-    ends: tuple[End, ...] = ()
+    crashes: tuple[ServerCrash, ...] = ()
     barred_for_s: float = 0.0
 
 
 _CLEAR = Verdict(stage=Stage.CLEAR)
 
 
-def shape_of(team: str, method: str, target: str, size: int) -> bytes:
+def fingerprint_prefix(team: str, method: str, target: str, size: int) -> bytes:
     """Returns the first half of a content, for which no body is read.
 
     Args:
@@ -99,7 +99,9 @@
     return hashlib.blake2b(text, digest_size=_HALF_BYTES).digest()
 
 
-def content_of(team: str, method: str, target: str, body: bytes) -> bytes:
+def request_fingerprint(
+    team: str, method: str, target: str, body: bytes
+) -> bytes:
     """Returns what repeats of one request have in common, as two digests.
 
     Ids, deadlines and where a stream goes on differ between repeats; the host
@@ -115,17 +117,17 @@
         >>> content_of("a", "GET", "/x", b"").hex()
         'a73b3951233db5c5e4a6a0577479b2b4'
     """
-    shape = shape_of(team, method, target, len(body))
+    shape = fingerprint_prefix(team, method, target, len(body))
     return shape + hashlib.blake2b(body, digest_size=_HALF_BYTES).digest()
 
 
-class Suspects:
+class CrashSuspects:
     """What instances know of the contents that servers ended under."""
 
-    def __init__(self, *, most: int = _MOST):
-        self._most = most
+    def __init__(self, *, max_entries: int = _MAX_ENTRIES):
+        self._max_entries = max_entries
         # Oldest change first.
-        self._ends: dict[bytes, tuple[End, ...]] = {}
+        self._ends: dict[bytes, tuple[ServerCrash, ...]] = {}
         self._shapes: collections.Counter[bytes] = collections.Counter()
 
     def __bool__(self) -> bool:
@@ -135,7 +137,9 @@
     def __len__(self) -> int:
         return len(self._ends)
 
-    def ended(self, content: bytes, end: End, now: float) -> bool:
+    def record_crash(
+        self, content: bytes, end: ServerCrash, now: float
+    ) -> bool:
         """Takes that a server ended under a content.
 
         Returns:
@@ -147,16 +151,16 @@
             return False
         self._drop(content)
         latest = sorted((*known, end), key=lambda e: e.at_s)
-        self._ends[content] = tuple(latest[-ENDS_TO_BAR:])
+        self._ends[content] = tuple(latest[-CRASHES_TO_BAR:])
         self._shapes[content[:_HALF_BYTES]] += 1
         self._make_room()
         return True
 
-    def served(self, content: bytes) -> bool:
+    def record_success(self, content: bytes) -> bool:
         """Takes a good answer; returns whether it cleared the content."""
         return self._drop(content)
 
-    def has_shape(self, shape: bytes) -> bool:
+    def has_prefix(self, shape: bytes) -> bool:
         """Tells whether a content of a shape may not be clear."""
         return shape in self._shapes
 
@@ -169,17 +173,17 @@
             self._drop(content)
             return _CLEAR
         left_s = ends[-1].at_s + BARRED_S - now
-        if len(ends) < ENDS_TO_BAR or left_s <= 0:
-            return Verdict(stage=Stage.SUSPECT, ends=ends)
-        return Verdict(stage=Stage.BARRED, ends=ends, barred_for_s=left_s)
+        if len(ends) < CRASHES_TO_BAR or left_s <= 0:
+            return Verdict(stage=Stage.SUSPECT, crashes=ends)
+        return Verdict(stage=Stage.BARRED, crashes=ends, barred_for_s=left_s)
 
-    def all(self, now: float) -> dict[bytes, tuple[End, ...]]:
+    def snapshot(self, now: float) -> dict[bytes, tuple[ServerCrash, ...]]:
         """Returns all that is known, for an instance that knows nothing."""
         for content in list(self._ends):
             self.judge(content, now)
         return dict(self._ends)
 
-    def _lasting(self, content: bytes, now: float) -> tuple[End, ...]:
+    def _lasting(self, content: bytes, now: float) -> tuple[ServerCrash, ...]:
         ends = self._ends.get(content, ())
         if ends and now - ends[-1].at_s < _FORGOTTEN_S:
             return ends
@@ -187,7 +191,7 @@
 
     def _make_room(self) -> None:
         """Drops the least suspect, of these the one unchanged for longest."""
-        while len(self._ends) > self._most:
+        while len(self._ends) > self._max_entries:
             self._drop(min(self._ends, key=lambda c: len(self._ends[c])))
 
     def _drop(self, content: bytes) -> bool:
@@ -202,7 +206,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
+class DesignatedServer:
     """Where a suspect content may go.
 
     Attributes:
@@ -215,14 +219,14 @@
     uncertain: bool = False
 
 
-def place(
+def designate_server(
     content: bytes,
     servers: Sequence[str],
     *,
-    ended: Collection[str] = (),
-    gone: Collection[str] = (),
-    ends: int = 0,
-) -> Place:
+    crashed: Collection[str] = (),
+    recently_gone: Collection[str] = (),
+    crash_count: int = 0,
+) -> DesignatedServer:
     """Returns the one server that a suspect content may go to.
 
     All instances choose alike from the same list, without messages. Where the
@@ -233,27 +237,27 @@
     Args:
         content: The content.
         servers: Those that may take it, the ones that have gone included.
-        ended: Those that ended under it; they may be back, but another's end
+        crashed: Those that ended under it; they may be back, but another's end
             says more.
-        gone: Those whose process ended a short while ago.
-        ends: How many servers are known to have ended under it.
+        recently_gone: Those whose process ended a short while ago.
+        crash_count: How many servers are known to have ended under it.
     """
-    pool = [name for name in servers if name not in ended]
-    fit = [name for name in pool or servers if name not in gone]
+    pool = [name for name in servers if name not in crashed]
+    fit = [name for name in pool or servers if name not in recently_gone]
     best = max(fit, key=lambda name: _rank(content, name), default=None)
     least = b"" if best is None else _rank(content, best)
     presumed = sum(
-        name in gone and _rank(content, name) > least for name in pool
+        name in recently_gone and _rank(content, name) > least for name in pool
     )
-    if presumed and ends + presumed >= ENDS_TO_BAR:
-        return Place(uncertain=True)
-    return Place(server=best)
+    if presumed and crash_count + presumed >= CRASHES_TO_BAR:
+        return DesignatedServer(uncertain=True)
+    return DesignatedServer(server=best)
 
 
 def _rank(content: bytes, name: str) -> bytes:
     return hashlib.blake2b(name.encode(), key=content, digest_size=8).digest()
 
 
-def _same(one: End, other: End) -> bool:
+def _same(one: ServerCrash, other: ServerCrash) -> bool:
     near = abs(one.at_s - other.at_s) < _SAME_END_S
-    return one.server == other.server and near
+    return one.server_key == other.server_key and near
--- a/irisshelf/routing/direct/overload.py
+++ b/irisshelf/routing/direct/overload.py
@@ -199,7 +199,7 @@
         """Tells whether a team brings far more than its share."""
         if not team:
             return False
-        equal = 1 / self._usual.keys
+        equal = 1 / self._usual.key_count
         known = min(1.0, (now - self._first_s) / _USUAL_S)
         usual = known * self._usual.share(team)
         return self._now.share(team) > SURGE * max(equal, usual)
--- a/irisshelf/routing/owned/retry.py
+++ b/irisshelf/routing/owned/retry.py
@@ -61,7 +61,7 @@
         and not failure.delivered
         and attempts < MAX_ATTEMPTS
         and now < deadline_s
-        and budget.take(now)
+        and budget.try_take(now)
     ):
         return None
     return outcome.Refusal(
--- a/irisshelf/routing/popularity.py
+++ b/irisshelf/routing/popularity.py
@@ -42,7 +42,7 @@
                 self._forget()
 
     @property
-    def keys(self) -> int:
+    def key_count(self) -> int:
         """How many keys are remembered."""
         return len(self._loads)
 
--- a/irisshelf/routing/retry_budget.py
+++ b/irisshelf/routing/retry_budget.py
@@ -13,7 +13,7 @@
 
 # Part of a bound on all instances together that is used: requests and retries
 # of a window do not fall into the same one everywhere.
-SHARED_SAFETY = 0.8
+FLEET_SAFETY_FACTOR = 0.8
 # Seconds over which a bundle's budget is counted.
 WINDOW_S = 10.0
 # Part of the slack that is dealt out: instances come, and others may not be
@@ -27,7 +27,7 @@
 _FEWEST = 6
 
 
-def share_of_slack(slack: float, instances: int | None) -> float:
+def instance_slack(slack: float, instances: int | None) -> float:
     """Returns one instance's part of the slack of all.
 
     Args:
@@ -58,21 +58,21 @@
         self._requests: collections.deque[float] = collections.deque()
         self._retries: collections.deque[float] = collections.deque()
 
-    def arrived(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Counts a request."""
         self._requests.append(now)
         _expire(self._requests, now - self._window_s)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Returns how many retries are left in the window that ends now."""
         _expire(self._requests, now - self._window_s)
         _expire(self._retries, now - self._window_s)
         allowed = self._ratio * len(self._requests) + self.slack
         return allowed - len(self._retries)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Takes one retry, if one is left."""
-        if self.left(now) < 1:
+        if self.remaining(now) < 1:
             return False
         self._retries.append(now)
         return True
--- a/irisshelf/tests/test_admission.py
+++ b/irisshelf/tests/test_admission.py
@@ -149,8 +149,8 @@
     taken = 0
     for number in range(1000):
         now = number / 50.0
-        budget.arrived(now)
-        taken += budget.take(now)
+        budget.record_request(now)
+        taken += budget.try_take(now)
     assert 95 <= taken <= 105
 
 
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -9,12 +9,12 @@
 from irisshelf.platform.stand_in import entry as entry_module
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.routing.direct import policy
 
 Fault = server_module.Fault
 _BODY = b"the one"
-_CONTENT = suspects.content_of("blue", "POST", "/alarm/1", _BODY)
+_CONTENT = crash_suspects.request_fingerprint("blue", "POST", "/alarm/1", _BODY)
 
 
 @pytest.fixture
@@ -163,24 +163,26 @@
     for one in fleet.plain[:ended]:
         one.close()
     for one in fleet.plain[:5]:
-        end = suspects.End(
-            server=directory.key_of(one.server_id),
+        end = crash_suspects.ServerCrash(
+            server_key=directory.key_of(one.server_id),
             at_s=boottime.now(),
         )
         fleet.inst.crashes.heard_end(_CONTENT, end)
-    stranger = suspects.End(server=b"stray", at_s=boottime.now())
+    stranger = crash_suspects.ServerCrash(
+        server_key=b"stray", at_s=boottime.now()
+    )
     fleet.inst.crashes.heard_end(_CONTENT, stranger)
     now = boottime.now()
     verdict = fleet.inst.crashes.suspects.judge(_CONTENT, now)
-    assert len(verdict.ends) == ended
+    assert len(verdict.crashes) == ended
 
 
 def test_an_end_of_a_server_that_has_left_the_list_counts(fleet):
     gone = fleet.plain[0]
     fleet.store.drop("servers", gone.server_id)
     fleet.wait(lambda: len(fleet.inst.directory.of("crew")) == 7)
-    end = suspects.End(
-        server=directory.key_of(gone.server_id), at_s=boottime.now()
+    end = crash_suspects.ServerCrash(
+        server_key=directory.key_of(gone.server_id), at_s=boottime.now()
     )
     fleet.inst.crashes.heard_end(_CONTENT, end)
     assert _stages(fleet)[0] == "suspect"
--- a/irisshelf/tests/test_suspects.py
+++ b/irisshelf/tests/test_crash_suspects.py
@@ -2,26 +2,28 @@
 
 import pytest
 
-from irisshelf.routing import suspects
-
-_CONTENT = suspects.content_of("blue", "POST", "/x", b"body")
-_OTHER = suspects.content_of("blue", "POST", "/x", b"another body")
-_CLEAR = suspects.Stage.CLEAR
-_SUSPECT = suspects.Stage.SUSPECT
-_BARRED = suspects.Stage.BARRED
-_LONG_S = suspects.BARRED_S
+from irisshelf.routing import crash_suspects
+
+_CONTENT = crash_suspects.request_fingerprint("blue", "POST", "/x", b"body")
+_OTHER = crash_suspects.request_fingerprint(
+    "blue", "POST", "/x", b"another body"
+)
+_CLEAR = crash_suspects.Stage.CLEAR
+_SUSPECT = crash_suspects.Stage.SUSPECT
+_BARRED = crash_suspects.Stage.BARRED
+_LONG_S = crash_suspects.BARRED_S
 _SERVERS = [f"s{number}" for number in range(6)]
 
 
 def _play(story):
     """Plays ends (server, seconds) and good answers (None, seconds)."""
-    known = suspects.Suspects()
+    known = crash_suspects.CrashSuspects()
     for server, at_s in story:
         if server is None:
-            known.served(_CONTENT)
+            known.record_success(_CONTENT)
         else:
-            end = suspects.End(server=server, at_s=at_s)
-            known.ended(_CONTENT, end, at_s)
+            end = crash_suspects.ServerCrash(server_key=server, at_s=at_s)
+            known.record_crash(_CONTENT, end, at_s)
     return known
 
 
@@ -96,14 +98,14 @@
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (2, 1, 0), (1, 2, 0)])
 def test_word_that_comes_in_another_order_comes_to_the_same(order):
-    known = suspects.Suspects()
+    known = crash_suspects.CrashSuspects()
     for at_s in order:
-        end = suspects.End(server=b"%d" % at_s, at_s=at_s)
-        assert known.ended(_CONTENT, end, 3.0)
-        assert not known.ended(_CONTENT, end, 3.0)
+        end = crash_suspects.ServerCrash(server_key=b"%d" % at_s, at_s=at_s)
+        assert known.record_crash(_CONTENT, end, 3.0)
+        assert not known.record_crash(_CONTENT, end, 3.0)
     verdict = known.judge(_CONTENT, 3.0)
     assert verdict.stage is _BARRED
-    assert [end.at_s for end in verdict.ends] == [0, 1, 2]
+    assert [end.at_s for end in verdict.crashes] == [0, 1, 2]
 
 
 @pytest.mark.parametrize(
@@ -119,18 +121,20 @@
     ],
 )
 def test_a_content_is_team_method_target_and_body(one, other, same):
-    found = suspects.content_of(*one) == suspects.content_of(*other)
+    found = crash_suspects.request_fingerprint(
+        *one
+    ) == crash_suspects.request_fingerprint(*other)
     assert found is same
 
 
 def test_a_flood_of_contents_drops_the_least_suspect():
-    known = suspects.Suspects(most=50)
+    known = crash_suspects.CrashSuspects(max_entries=50)
     for number in range(3):
-        end = suspects.End(server=b"%d" % number, at_s=0.0)
-        known.ended(_CONTENT, end, 0.0)
+        end = crash_suspects.ServerCrash(server_key=b"%d" % number, at_s=0.0)
+        known.record_crash(_CONTENT, end, 0.0)
     for number in range(500):
-        end = suspects.End(server=b"%d" % number, at_s=1.0)
-        known.ended(b"%016d" % number, end, 1.0)
+        end = crash_suspects.ServerCrash(server_key=b"%d" % number, at_s=1.0)
+        known.record_crash(b"%016d" % number, end, 1.0)
     assert len(known) == 50
     assert known.judge(_CONTENT, 1.0).stage is _BARRED
     assert known.judge(b"%016d" % 499, 1.0).stage is _SUSPECT
@@ -144,39 +148,48 @@
 def test_suspects_are_spread_but_each_has_one_server(ended, expected):
     contents = [b"%016d" % number for number in range(200)]
     chosen = {
-        suspects.place(content, _SERVERS, ended=ended).server
+        crash_suspects.designate_server(content, _SERVERS, crashed=ended).server
         for content in contents
     }
     assert len(chosen) == expected
     for content in contents:
         backwards = list(reversed(_SERVERS))
-        assert suspects.place(content, _SERVERS, ended=ended) == suspects.place(
-            content, backwards, ended=ended
-        )
+        assert crash_suspects.designate_server(
+            content, _SERVERS, crashed=ended
+        ) == crash_suspects.designate_server(content, backwards, crashed=ended)
 
 
 @pytest.mark.parametrize("known", [[], ["one"], ["one", "two"]])
 def test_a_shape_is_known_as_long_as_one_of_its_contents_is(known):
-    suspected = suspects.Suspects()
+    suspected = crash_suspects.CrashSuspects()
     contents = [
-        suspects.content_of("blue", "POST", "/x", body)
+        crash_suspects.request_fingerprint("blue", "POST", "/x", body)
         for body in (b"one", b"two")
     ]
     for content in contents:
-        end = suspects.End(server=b"1", at_s=0.0)
-        suspected.ended(content, end, 0.0)
-        suspected.ended(content, suspects.End(server=b"2", at_s=5.0), 5.0)
+        end = crash_suspects.ServerCrash(server_key=b"1", at_s=0.0)
+        suspected.record_crash(content, end, 0.0)
+        suspected.record_crash(
+            content, crash_suspects.ServerCrash(server_key=b"2", at_s=5.0), 5.0
+        )
     for content, name in zip(contents, ("one", "two"), strict=True):
         if name not in known:
-            assert suspected.served(content)
-    shape = suspects.shape_of("blue", "POST", "/x", 3)
-    assert suspected.has_shape(shape) is bool(known)
-    assert not suspected.has_shape(suspects.shape_of("a", "POST", "/x", 3))
-    assert not suspected.has_shape(suspects.shape_of("blue", "POST", "/x", 4))
+            assert suspected.record_success(content)
+    shape = crash_suspects.fingerprint_prefix("blue", "POST", "/x", 3)
+    assert suspected.has_prefix(shape) is bool(known)
+    assert not suspected.has_prefix(
+        crash_suspects.fingerprint_prefix("a", "POST", "/x", 3)
+    )
+    assert not suspected.has_prefix(
+        crash_suspects.fingerprint_prefix("blue", "POST", "/x", 4)
+    )
 
 
 def test_without_a_server_there_is_none():
-    assert suspects.place(_CONTENT, []) == suspects.Place()
+    assert (
+        crash_suspects.designate_server(_CONTENT, [])
+        == crash_suspects.DesignatedServer()
+    )
 
 
 def _ranked(content):
@@ -184,7 +197,7 @@
     ranked = []
     while len(ranked) < len(_SERVERS):
         ranked.append(
-            suspects.place(
+            crash_suspects.designate_server(
                 content,
                 [name for name in _SERVERS if name not in ranked],
             ).server
@@ -211,14 +224,14 @@
 ):
     """Guards against a fourth end while messages of three are on the way."""
     ranked = _ranked(_CONTENT)
-    place = suspects.place(
+    place = crash_suspects.designate_server(
         _CONTENT,
         _SERVERS,
-        ended=ranked[:ends],
-        gone=[ranked[number] for number in gone],
-        ends=ends,
+        crashed=ranked[:ends],
+        recently_gone=[ranked[number] for number in gone],
+        crash_count=ends,
     )
     if goes_to is None:
-        assert place == suspects.Place(uncertain=True)
+        assert place == crash_suspects.DesignatedServer(uncertain=True)
     else:
-        assert place == suspects.Place(server=ranked[goes_to])
+        assert place == crash_suspects.DesignatedServer(server=ranked[goes_to])
--- a/irisshelf/tests/test_crashing_requests.py
+++ b/irisshelf/tests/test_crashing_requests.py
@@ -13,7 +13,7 @@
 import pytest
 
 from irisshelf import boottime
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 
 # So many servers may end under a request before all instances know it.
 _ALLOWED = 3
@@ -102,10 +102,10 @@
 def _next_server(world, ended):
     """Returns the server that the one suspect request goes to now."""
     group = world.engines if ended[0] in world.engines else world.plain
-    (content,) = world.inst.crashes.suspects.all(boottime.now())
+    (content,) = world.inst.crashes.suspects.snapshot(boottime.now())
     by_id = {one.server_id: one for one in group}
     names = [one.server_id for one in group if one not in ended]
-    return by_id[suspects.place(content, names).server]
+    return by_id[crash_suspects.designate_server(content, names).server]
 
 
 @pytest.mark.parametrize("target", _KINDS)
--- a/irisshelf/tests/test_gateway_faults.py
+++ b/irisshelf/tests/test_gateway_faults.py
@@ -310,10 +310,10 @@
     world.inst.servers.instances = 10
     budget = world.inst.servers.budget("crew")
     for _ in range(100):
-        budget.arrived(world.inst.now())
+        budget.record_request(world.inst.now())
     bounds = world.inst.cfg.bounds
     whole = bounds.retry_share * 100 + bounds.retry_slack / 10
-    left = budget.left(world.inst.now())
+    left = budget.remaining(world.inst.now())
     assert 0.5 * whole < left < 0.9 * whole
 
 
--- a/irisshelf/tests/test_retry_budget.py
+++ b/irisshelf/tests/test_retry_budget.py
@@ -10,16 +10,16 @@
 def test_retries_are_a_share_of_requests_and_a_little(requests, allowed):
     budget = retry_budget.RetryBudget(ratio=0.2, slack=2.0, window_s=10.0)
     for _ in range(requests):
-        budget.arrived(1.0)
-    taken = sum(budget.take(1.0) for _ in range(100))
+        budget.record_request(1.0)
+    taken = sum(budget.try_take(1.0) for _ in range(100))
     assert taken == allowed
-    assert not budget.take(10.9)
+    assert not budget.try_take(10.9)
 
 
 def test_a_window_passes():
     budget = retry_budget.RetryBudget(ratio=0.2, slack=2.0, window_s=10.0)
-    assert [budget.take(0.0) for _ in range(3)] == [True, True, False]
-    assert budget.take(10.0)
+    assert [budget.try_take(0.0) for _ in range(3)] == [True, True, False]
+    assert budget.try_take(10.0)
 
 
 @pytest.mark.parametrize(
@@ -27,7 +27,7 @@
     [(None, 0.075), (1, 5.0), (6, 5.0), (30, 1.0), (300, 0.1)],
 )
 def test_the_slack_is_dealt_out_among_instances(instances, share):
-    found = retry_budget.share_of_slack(50.0, instances)
+    found = retry_budget.instance_slack(50.0, instances)
     assert found == pytest.approx(share)
     if instances is not None:
         assert found * instances <= 50.0
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("size", [2, 30, 195, 400])
 def test_a_fleet_that_starts_at_once_deals_out_no_more_than_the_slack(size):
-    assert size * retry_budget.share_of_slack(430.0, None) <= 430.0
+    assert size * retry_budget.instance_slack(430.0, None) <= 430.0
 
 
 @pytest.mark.parametrize("size", [10, 195, 400])
@@ -51,7 +51,7 @@
         for passed_s in range(1, 12):
             one.heard(1, 100.0 + passed_s)
     shares = [
-        retry_budget.share_of_slack(430.0, one.count(112.0)) for one in sizes
+        retry_budget.instance_slack(430.0, one.count(112.0)) for one in sizes
     ]
     assert sum(shares) <= 430.0
 
--- a/irisshelf/tests/test_sleep.py
+++ b/irisshelf/tests/test_sleep.py
@@ -149,10 +149,10 @@
 def test_a_retry_window_passes_in_a_sleep(make_world, sleep, slept_s, left):
     world = make_world(bounds=_LENIENT)
     budget = world.inst.servers.budget("crew")
-    while budget.take(world.inst.now()):
+    while budget.try_take(world.inst.now()):
         pass
     sleep(slept_s)
-    assert int(budget.left(world.inst.now())) == left
+    assert int(budget.remaining(world.inst.now())) == left
 
 
 @pytest.mark.parametrize(("slept_s", "fit"), [(0.3, False), (6, True)])
