--- a/bench/bundle.py
+++ b/bench/bundle.py
@@ -110,10 +110,10 @@
 
 
 def _routers() -> list[service.ServiceRouter]:
-    book = health.HealthBook()
+    book = health.HealthTracker()
     return [
         service.ServiceRouter(
-            name=f"model-{i}", health_book=book, rng=random.Random(1)
+            name=f"model-{i}", health_tracker=book, rng=random.Random(1)
         )
         for i in range(MODELS)
     ]
@@ -133,8 +133,8 @@
     ]
     for router in routers:
         engines = {t.name: t.data_centre for t in router.targets}
-        owners = ownership.Owners(engines=engines, instances=live)
-        router.set_owners(owners, me="i-0")
+        owners = ownership.OwnershipMap(engines=engines, instances=live)
+        router.set_owners(owners, instance="i-0")
 
 
 def _median(run: Callable[[], None]) -> float:
--- a/bench/routing/baselines.py
+++ b/bench/routing/baselines.py
@@ -87,7 +87,7 @@
     def __init__(self, **kwargs):
         super().__init__(**kwargs)
         self.books = [
-            load.LoadBook(size=self.count, instances=self.routers)
+            load.LoadTracker(size=self.count, instances=self.routers)
             for _ in range(self.routers)
         ]
         self._works: dict[int, tuple[int, float]] = {}
@@ -110,7 +110,7 @@
         """Takes an engine's word into every router's book."""
         if self.use_reports:
             for book in self.books:
-                book.report(engine, load.Report(work=work, at_s=at_s))
+                book.report(engine, load.LoadReport(work=work, at_s=at_s))
 
 
 class LeastLoad(_Counting):
@@ -139,7 +139,7 @@
     def place(self, req, view) -> int | None:
         """Chooses an engine."""
         up = self.up[self.router(req)]
-        order = self.ranking.order(req.context.chat_key)
+        order = self.ranking.first_members(req.context.chat_key)
         return next((i for i in order if up[i]), None)
 
 
@@ -165,10 +165,10 @@
         book = self.books[self.router(req)]
         work = self.work(req)
         allowed = self.bound * (book.own_total + work) / max(1, sum(up))
-        order = self.ranking.whole_order(req.context.chat_key)
+        order = self.ranking.full_order(req.context.chat_key)
         live = [i for i in order if up[i]]
         for engine in live:
-            own = book.own(engine)
+            own = book.own_work(engine)
             if own == 0 or own < allowed:
                 return engine
         return live[0] if live else None
@@ -186,7 +186,7 @@
         book = self.books[self.router(req)]
         work = self.work(req)
         allowed = self.bound * (book.total() + work) / max(1, sum(up))
-        order = self.ranking.whole_order(req.context.chat_key)
+        order = self.ranking.full_order(req.context.chat_key)
         live = [i for i in order if up[i]]
         for engine in live:
             found = book.estimate(engine)
--- a/bench/routing/decision.py
+++ b/bench/routing/decision.py
@@ -26,8 +26,10 @@
         rng=random.Random(1),
     )
     placer.set_owned(range(min(owned, count)))
-    placer.set_others(
-        placement.Totals(work=1000.0 * (count - owned), engines=count - owned)
+    placer.set_remote_totals(
+        placement.WorkTotals(
+            work=1000.0 * (count - owned), engines=count - owned
+        )
     )
     return placer
 
@@ -59,13 +61,13 @@
     for ctx in contexts:
         now += 0.05
         began = time.perf_counter_ns()
-        placer.arrived(ctx, now)
-        placer.entry(ctx)
+        placer.record_arrival(ctx, now)
+        placer.preferred_engine(ctx)
         placed = placer.place(ctx, may_forward=True)
         taken.append((time.perf_counter_ns() - began) / 1000)
         if isinstance(placed, placement.Placement):
-            placer.sent(ctx, placed, now)
-            placer.ended(placed.engine, placed.work, now)
+            placer.record_sent(ctx, placed, now)
+            placer.record_end(placed.engine, placed.work, now)
     return sorted(taken[DECISIONS // 10 :])
 
 
@@ -81,12 +83,12 @@
     seen = CHATS // ROUTERS
     for i in range(seen * 2):
         ctx = _context(rng)
-        placer.arrived(ctx, i * 0.05)
-        placer.entry(ctx)
+        placer.record_arrival(ctx, i * 0.05)
+        placer.preferred_engine(ctx)
         placed = placer.place(ctx, may_forward=True)
         if isinstance(placed, placement.Placement):
-            placer.sent(ctx, placed, i * 0.05)
-            placer.ended(placed.engine, placed.work, i * 0.05)
+            placer.record_sent(ctx, placed, i * 0.05)
+            placer.record_end(placed.engine, placed.work, i * 0.05)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size / 1e6
--- a/bench/routing/ours.py
+++ b/bench/routing/ours.py
@@ -50,7 +50,7 @@
     def place(self, req, view) -> int | None:
         """Chooses an engine."""
         placer = self._placer(req)
-        placer.arrived(req.context, view.now)
+        placer.record_arrival(req.context, view.now)
         placed = placer.place(req.context)
         if placed is None:
             return None
@@ -61,20 +61,20 @@
         """Counts a send."""
         del engine
         placed = self._placed[req.number]
-        self._placer(req).sent(req.context, placed, now)
+        self._placer(req).record_sent(req.context, placed, now)
 
     def ended(self, req, engine, now):
         """Counts an end."""
         del engine
         placed = self._placed.pop(req.number)
-        self._placer(req).ended(placed.engine, placed.work, now)
-        self._placer(req).answered(req.context, placed.engine, req.decode)
+        self._placer(req).record_end(placed.engine, placed.work, now)
+        self._placer(req).record_answer(req.context, placed.engine, req.decode)
 
     def report(self, engine, work, at_s, now):
         """Takes a report."""
         del now
         for placer in self._placers:
-            placer.report(engine, load.Report(work=work, at_s=at_s))
+            placer.report(engine, load.LoadReport(work=work, at_s=at_s))
 
     def available(self, router, engine, up):
         """Learns that an engine is up or down."""
@@ -104,7 +104,8 @@
             members=[ranking.Member(name=f"r{i}") for i in range(routers)]
         )
         self._owner = [
-            ranks.order(context.hash64(b"e%d" % i))[0] for i in range(count)
+            ranks.first_members(context.hash64(b"e%d" % i))[0]
+            for i in range(count)
         ]
         for router, placer in enumerate(self._placers):
             mine = [i for i in range(count) if self._owner[i] == router]
@@ -120,8 +121,8 @@
     def place(self, req, view) -> int | None:
         """Chooses an engine, with two hops at the most."""
         entry = self._placer(req)
-        entry.arrived(req.context, view.now)
-        first = entry.entry(req.context)
+        entry.record_arrival(req.context, view.now)
+        first = entry.preferred_engine(req.context)
         if first is None:
             return None
         owner = self._owner[first]
@@ -136,7 +137,7 @@
         if placed is None:
             return None
         if by != owner:
-            self._placers[owner].remember(
+            self._placers[owner].record_location(
                 req.context, placed.engine, placed.reason
             )
         self._placed[req.number] = placed
@@ -148,18 +149,18 @@
         """Counts a send."""
         del engine
         placer = self._placers[self._by[req.number]]
-        placer.sent(req.context, self._placed[req.number], now)
+        placer.record_sent(req.context, self._placed[req.number], now)
 
     def ended(self, req, engine, now):
         """Counts an end."""
         placer = self._placers[self._by.pop(req.number)]
         del self._placed[req.number]
-        placer.ended(engine, self._left.pop(req.number), now)
-        placer.answered(req.context, engine, req.decode)
+        placer.record_end(engine, self._left.pop(req.number), now)
+        placer.record_answer(req.context, engine, req.decode)
 
     def lost_cache(self, engine: int) -> None:
         """An engine has started anew."""
-        self._placers[self._owner[engine]].lost_cache(engine)
+        self._placers[self._owner[engine]].reset_cache(engine)
 
     def progress(self, req, decoded: int, now):
         """The owner has relayed some tokens of an answer."""
@@ -171,7 +172,7 @@
             self._left[req.number] = left
             placer = self._placers[self._by[req.number]]
             engine = self._placed[req.number].engine
-            placer.ended(engine, before - left, now)
+            placer.record_end(engine, before - left, now)
 
     def tick(self, now):
         """A second has passed: owners exchange totals."""
@@ -179,10 +180,10 @@
         totals = [placer.totals() for placer in self._placers]
         work = sum(t.work for t in totals)
         count = sum(t.engines for t in totals)
-        full = frozenset().union(*(p.full() for p in self._placers))
+        full = frozenset().union(*(p.full_engines() for p in self._placers))
         for mine, placer in zip(totals, self._placers, strict=True):
-            placer.set_others(
-                placement.Totals(
+            placer.set_remote_totals(
+                placement.WorkTotals(
                     work=work - mine.work, engines=count - mine.engines
                 ),
                 full=full if self._use_full else frozenset(),
--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -40,7 +40,7 @@
         functools.partial(
             dispatch.request, "POST", path, body=call.body, headers=headers
         ),
-        stream.Checker(attempt_id=call.attempt_id),
+        stream.StreamChecker(attempt_id=call.attempt_id),
     )
 
 
@@ -60,7 +60,7 @@
         functools.partial(
             dispatch.request, "GET", _stream_path(call), headers=headers
         ),
-        stream.Checker(
+        stream.StreamChecker(
             attempt_id=call.attempt_id, next_offset=call.next_offset
         ),
     )
@@ -81,7 +81,7 @@
     address: str,
     limits: messages.Limits,
     send: Any,
-    checker: stream.Checker,
+    checker: stream.StreamChecker,
 ) -> result.Result[engine_stream.EngineStream, errors.CallError]:
     client = clients.client(
         address, connect_s=limits.connect_s, idle_s=limits.idle_s
--- a/irisshelf/backends/engine_stream.py
+++ b/irisshelf/backends/engine_stream.py
@@ -27,7 +27,7 @@
         self,
         *,
         response: Any,
-        checker: stream.Checker,
+        checker: stream.StreamChecker,
         generation: str,
         head: messages.StreamHead,
     ):
@@ -85,7 +85,7 @@
             ready.append(event)
         elif verdict is stream.Verdict.END:
             ready.append(event)
-        elif verdict in stream.BAD:
+        elif verdict in stream.INVALID:
             raise errors.StreamError(error=_garbled(verdict))
 
     def _has_event(self) -> bool:
--- a/irisshelf/backends/relay.py
+++ b/irisshelf/backends/relay.py
@@ -48,7 +48,7 @@
     return result.Ok(
         engine_stream.EngineStream(
             response=response,
-            checker=stream.Checker(attempt_id=head.attempt_id),
+            checker=stream.StreamChecker(attempt_id=head.attempt_id),
             generation=response.get(messages.Header.GENERATION.value) or "",
             head=head,
         )
--- a/irisshelf/daemon/admit.py
+++ b/irisshelf/daemon/admit.py
@@ -22,17 +22,17 @@
         router: service.ServiceRouter,
         ticket: admission.Ticket,
         now: float,
-    ) -> admission.Start | admission.GiveUp:
+    ) -> admission.Admitted | admission.Rejection:
         """Waits until a request may start or is refused."""
-        step = router.admission.arrive(ticket, now)
-        if not isinstance(step, admission.Wait):
+        step = router.admission.submit(ticket, now)
+        if not isinstance(step, admission.Queued):
             return step
         decided = event.AsyncResult()
         self._waiting[ticket.request_id] = decided
         try:
             return decided.get()
         except BaseException:
-            router.admission.withdraw(ticket)
+            router.admission.cancel(ticket)
             raise
         finally:
             self._waiting.pop(ticket.request_id, None)
@@ -41,14 +41,14 @@
         self, router: service.ServiceRouter, team: str, lasted_s: float
     ) -> None:
         """Counts a request that no longer runs; others may start."""
-        self._tell(router.admission.ended(team, lasted_s))
+        self._tell(router.admission.record_end(team, lasted_s))
 
-    def give_up(self, refused: admission.GiveUp) -> None:
+    def give_up(self, refused: admission.Rejection) -> None:
         """Tells a waiting request that it is refused."""
         self._tell([refused])
 
     def _tell(
-        self, steps: Iterable[admission.Start | admission.GiveUp]
+        self, steps: Iterable[admission.Admitted | admission.Rejection]
     ) -> None:
         for step in steps:
             decided = self._waiting.get(step.ticket.request_id)
--- a/irisshelf/daemon/chat_front.py
+++ b/irisshelf/daemon/chat_front.py
@@ -103,7 +103,7 @@
             expected_decode=router.expected_decode(limit),
         )
         now = self._nd.now()
-        router.placer.arrived(ctx, now)
+        router.placer.record_arrival(ctx, now)
         req = model_messages.Request(
             request_id=self._nd.new_id(),
             router=router,
--- a/irisshelf/daemon/gate.py
+++ b/irisshelf/daemon/gate.py
@@ -42,7 +42,7 @@
             deadline_s=now + router.cfg.timeouts.queue_s,
         )
         step = self._admitter.enter(router, ticket, now)
-        if isinstance(step, admission.Start):
+        if isinstance(step, admission.Admitted):
             return None
         return outcome.Refusal(
             outcome=outcome.Outcome.NOT_RUN,
--- a/irisshelf/daemon/model_call.py
+++ b/irisshelf/daemon/model_call.py
@@ -46,7 +46,7 @@
     def __init__(self, *, nd: node.Node, req: model_messages.Request):
         self._nd = nd
         self._req = req
-        self._course = retry.Course(
+        self._course = retry.RetryState(
             repeatable=req.repeatable,
             deadline_s=req.deadline_s,
             budget=req.router.budget,
@@ -72,7 +72,7 @@
             if attempt is None:
                 name = self._req.router.name
                 detail = f"no engine of {name!r} takes work"
-                return result.Err(self._course.nobody(detail))
+                return result.Err(self._course.no_target_left(detail))
             tried = self._try(attempt)
             if isinstance(tried, result.Ok):
                 return tried
@@ -145,7 +145,7 @@
             done = attempt.left - left
             attempt.left = left
             now = self._nd.now()
-            self._req.router.progressed(attempt.send, done, now)
+            self._req.router.record_progress(attempt.send, done, now)
 
     def _next_attempt(self) -> attempt_module.Attempt | None:
         decided = self._decide()
@@ -199,9 +199,9 @@
         """Makes one attempt, up to its first event."""
         self._attempt = attempt
         sent_s = self._nd.now()
-        self._course.began()
+        self._course.start_attempt()
         if attempt.send is not None:
-            self._req.router.sent(attempt.send, sent_s)
+            self._req.router.record_sent(attempt.send, sent_s)
             reason = attempt.send.placement.reason.value
             self._nd.metrics.placements.labels(reason).inc()
             self._note(timeline.Kind.SEND, attempt)
@@ -225,14 +225,14 @@
         if attempt.send is None:
             target = self._req.router.target(head.target)
             attempt.target = target or attempt.target
-            self._req.router.placed_elsewhere(
+            self._req.router.record_remote_placement(
                 self._req.context, head.target, head.reason
             )
         elif head.engine_work is not None:
             # The engine's report covers what it had before this request.
             self._req.router.report(
                 attempt.target.name,
-                load.Report(work=head.engine_work, at_s=sent_s - 1e-6),
+                load.LoadReport(work=head.engine_work, at_s=sent_s - 1e-6),
             )
 
     def _read(self) -> bytes:
@@ -292,7 +292,7 @@
             self._ask_owner_of = ""
             return False
         self._forward_failures += 1
-        self._course.did_not_begin()
+        self._course.cancel_attempt()
         self._ask_owner_of = error.try_target
         if error.unreachable:
             self._nd.peer_unreachable(attempt.call.address)
@@ -302,7 +302,7 @@
         failure = retry.Failure(
             outcome=error.outcome, cause=error.cause, detail=error.detail
         )
-        refusal = self._course.failed(failure, self._nd.now())
+        refusal = self._course.record_failure(failure, self._nd.now())
         if refusal is None:
             self._nd.metrics.retries.labels(self._req.router.name).inc()
             self._note(timeline.Kind.RETRY, self._attempt)
@@ -321,8 +321,8 @@
 
     def _count(self, send: service.Send, usage: completion.Usage) -> None:
         router = self._req.router
-        router.decoded(self._req.limit, usage.decode_tokens)
-        router.answered(send, usage.decode_tokens)
+        router.record_answer_length(self._req.limit, usage.decode_tokens)
+        router.record_answer(send, usage.decode_tokens)
         counts = self._nd.metrics
         counts.prompt_tokens.labels(router.name).inc(usage.prompt_tokens)
         counts.cached_tokens.labels(router.name).inc(usage.cached_tokens)
@@ -333,7 +333,7 @@
         attempt.move(event)
         if attempt.send is not None:
             now = self._nd.now()
-            self._req.router.progressed(attempt.send, attempt.left, now)
+            self._req.router.record_progress(attempt.send, attempt.left, now)
         if event != "end" and attempt.stream is not None:
             attempt.stream.close()
 
--- a/irisshelf/daemon/node.py
+++ b/irisshelf/daemon/node.py
@@ -83,7 +83,7 @@
             tls.client_context(secured.files()) if secured else None
         )
         self.clients = pool.Pool(peer_context=self.peer_context)
-        self.health = health.HealthBook()
+        self.health = health.HealthTracker()
         self.services: dict[str, service.ServiceRouter] = {}
         self.claims = claims.ClaimWriter(platform=platform, counts=self.metrics)
         self.instances = 1
@@ -146,10 +146,10 @@
         for name in bundle.services:
             if name not in self.services:
                 self.services[name] = service.ServiceRouter(
-                    name=name, health_book=self.health, rng=self.rng
+                    name=name, health_tracker=self.health, rng=self.rng
                 )
         self.configure(bundle)
-        self.health.keep(frozenset(bundle.backend_servers))
+        self.health.retain(frozenset(bundle.backend_servers))
         servers = bundle.backend_servers.values()
         self.clients.keep(frozenset(server.address for server in servers))
         self.metrics.bundle_number.set(bundle.number)
--- a/irisshelf/daemon/peers.py
+++ b/irisshelf/daemon/peers.py
@@ -127,7 +127,7 @@
         for name, router in self._nd.services.items():
             totals = router.totals()
             if totals.engines:
-                full = sorted(router.full())[: gossip_messages.MAX_FULL]
+                full = sorted(router.full_targets())[: gossip_messages.MAX_FULL]
                 loads.append(
                     gossip_messages.Load(
                         service=name,
@@ -166,8 +166,8 @@
                 t.name: t.data_centre for t in router.targets if t.engine
             }
             router.set_owners(
-                ownership.Owners(engines=engines, instances=live),
-                me=self._nd.cfg.instance,
+                ownership.OwnershipMap(engines=engines, instances=live),
+                instance=self._nd.cfg.instance,
             )
 
     def _candidates(
@@ -193,8 +193,8 @@
     def _take_others(self, now: float) -> None:
         for name, router in self._nd.services.items():
             others = self.gossip.others(name, now)
-            router.placer.set_others(
-                placement.Totals(work=others.work, engines=others.engines),
+            router.placer.set_remote_totals(
+                placement.WorkTotals(work=others.work, engines=others.engines),
                 full=frozenset(others.full),
             )
         hint = self.gossip.head
--- a/irisshelf/daemon/plain_call.py
+++ b/irisshelf/daemon/plain_call.py
@@ -46,7 +46,7 @@
         self._nd = nd
         self._req = req
         self._failed: set[str] = set()
-        self._course = retry.Course(
+        self._course = retry.RetryState(
             repeatable=req.repeatable,
             deadline_s=req.deadline_s,
             budget=req.router.budget,
@@ -58,8 +58,8 @@
             send = self._place()
             if send is None:
                 detail = f"no server of {self._req.router.name!r} takes work"
-                return result.Err(self._course.nobody(detail))
-            self._course.began()
+                return result.Err(self._course.no_target_left(detail))
+            self._course.start_attempt()
             answer = self._try(send)
             if isinstance(answer, result.Ok):
                 return answer
@@ -68,7 +68,7 @@
             failure = retry.Failure(
                 outcome=error.outcome, cause=error.cause, detail=error.detail
             )
-            refusal = self._course.failed(failure, self._nd.now())
+            refusal = self._course.record_failure(failure, self._nd.now())
             if refusal is not None:
                 return result.Err(refusal)
             self._nd.metrics.retries.labels(self._req.router.name).inc()
@@ -106,12 +106,12 @@
             attempt=call.attempt_id,
             engine=send.target.name,
         )
-        self._req.router.sent(send, self._nd.now())
+        self._req.router.record_sent(send, self._nd.now())
         try:
             answer = registry.start(call, clients=self._nd.clients)
         finally:
             work = send.placement.work
-            self._req.router.progressed(send, work, self._nd.now())
+            self._req.router.record_progress(send, work, self._nd.now())
         self._nd.observe_call(send.target, answer.err())
         if answer.is_ok() and answer.ok_value.leaving:
             server = send.target.server
--- a/irisshelf/daemon/relay.py
+++ b/irisshelf/daemon/relay.py
@@ -98,7 +98,7 @@
         decided = req.router.route(req.context, avoid=req.avoid, hops_left=1)
         if not isinstance(decided, service.Forward):
             return None
-        req.router.placed_elsewhere(
+        req.router.record_remote_placement(
             req.context,
             decided.target.name,
             placement.Reason.OTHER_HOME.value,
--- a/irisshelf/daemon/watch.py
+++ b/irisshelf/daemon/watch.py
@@ -94,7 +94,7 @@
         for router in nd.services.values()
         if router.name == server.service
     )
-    quiet_s = nd.now() - nd.health.heard_s(name)
+    quiet_s = nd.now() - nd.health.last_success_s(name)
     return owned and quiet_s > nd.cfg.pace.probe_s
 
 
@@ -150,7 +150,7 @@
         return
     nd.observe(name, health.Event.PROBE_OK)
     for router in nd.services.values():
-        router.report(name, load.Report(work=found.work, at_s=at_s))
+        router.report(name, load.LoadReport(work=found.work, at_s=at_s))
 
 
 def _jittered(nd: node.Node, seconds: float) -> float:
--- a/irisshelf/gateway/servers/crashes.py
+++ b/irisshelf/gateway/servers/crashes.py
@@ -1,6 +1,6 @@
 """What one instance does about requests that end the servers that run them.
 
-See ``routing.crash_suspects`` for what is decided; here is what it is decided by:
+See ``crash_suspects`` for what is decided; here is what it is decided by:
 whether a server has ended, what has been answered well of late, and what
 other instances have seen.
 """
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Place:
-    """Where a suspect request may go; see ``crash_suspects.DesignatedServer``."""
+    """Where a suspect request may go; see ``DesignatedServer``."""
 
     server: directory.BackendServer | None
     uncertain: bool
--- a/irisshelf/routing/crash_suspects.py
+++ b/irisshelf/routing/crash_suspects.py
@@ -114,7 +114,7 @@
         body: The whole body.
 
     Example:
-        >>> content_of("a", "GET", "/x", b"").hex()
+        >>> request_fingerprint("a", "GET", "/x", b"").hex()
         'a73b3951233db5c5e4a6a0577479b2b4'
     """
     shape = fingerprint_prefix(team, method, target, len(body))
--- a/irisshelf/routing/owned/admission.py
+++ b/irisshelf/routing/owned/admission.py
@@ -16,7 +16,7 @@
 
 from irisshelf.bundle import schema
 
-RESERVE = 0.1
+RESERVED_SHARE = 0.1
 MAX_WAITING = 4096
 _PACE_WEIGHT = 0.1
 _RANKS = {
@@ -37,21 +37,21 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Start:
+class Admitted:
     """The request may start now."""
 
     ticket: Ticket
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Wait:
-    """The request waits; its ``Start`` or ``GiveUp`` follows."""
+class Queued:
+    """The request waits; its ``Admitted`` or ``Rejection`` follows."""
 
     ticket: Ticket
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class GiveUp:
+class Rejection:
     """The request is refused; come back after ``retry_after_s``."""
 
     ticket: Ticket
@@ -92,25 +92,27 @@
         self._shares = shares
         self._share_total = sum(shares.values()) or 1.0
 
-    def arrive(self, ticket: Ticket, now: float) -> Start | Wait | GiveUp:
+    def submit(
+        self, ticket: Ticket, now: float
+    ) -> Admitted | Queued | Rejection:
         """Takes a request; it starts, waits or is refused at once."""
         if self._may_start(ticket.team):
             self._start(ticket)
-            return Start(ticket=ticket)
+            return Admitted(ticket=ticket)
         wait_s = self.expected_wait_s(ticket)
         if self._waiting >= MAX_WAITING or now + wait_s > ticket.deadline_s:
-            return GiveUp(ticket=ticket, retry_after_s=wait_s)
+            return Rejection(ticket=ticket, retry_after_s=wait_s)
         key = (_RANKS[ticket.priority], ticket.team)
         self._queues.setdefault(key, collections.deque()).append(ticket)
         self._waiting += 1
-        return Wait(ticket=ticket)
+        return Queued(ticket=ticket)
 
-    def ended(self, team: str, lasted_s: float) -> list[Start]:
+    def record_end(self, team: str, duration_s: float) -> list[Admitted]:
         """Counts a request that no longer runs.
 
         Args:
             team: The request's team.
-            lasted_s: How long it ran; None-like 0 is fine.
+            duration_s: How long it ran; 0 if that is not known.
 
         Returns:
             Waiting requests that start now.
@@ -119,10 +121,10 @@
         if self._running[team] <= 0:
             del self._running[team]
         self._total -= 1
-        self._service_s += _PACE_WEIGHT * (lasted_s - self._service_s)
+        self._service_s += _PACE_WEIGHT * (duration_s - self._service_s)
         return self._drain()
 
-    def expire(self, now: float) -> list[GiveUp]:
+    def expire(self, now: float) -> list[Rejection]:
         """Refuses what has waited past its deadline."""
         given_up = []
         for queue in self._queues.values():
@@ -131,7 +133,7 @@
         self._drop_empty()
         return given_up
 
-    def withdraw(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: Ticket) -> None:
         """Removes a waiting request whose caller went away."""
         key = (_RANKS[ticket.priority], ticket.team)
         queue = self._queues.get(key)
@@ -160,19 +162,21 @@
             return False
         if self._running[team] < math.floor(self._guaranteed(team)):
             return True
-        return self._total < max(1, math.floor(self._limit * (1 - RESERVE)))
+        return self._total < max(
+            1, math.floor(self._limit * (1 - RESERVED_SHARE))
+        )
 
     def _start(self, ticket: Ticket) -> None:
         self._running[ticket.team] += 1
         self._total += 1
 
-    def _drain(self) -> list[Start]:
+    def _drain(self) -> list[Admitted]:
         started = []
         while (key := self._next()) is not None:
             ticket = self._queues[key].popleft()
             self._waiting -= 1
             self._start(ticket)
-            started.append(Start(ticket=ticket))
+            started.append(Admitted(ticket=ticket))
             self._drop_empty()
         return started
 
@@ -187,9 +191,11 @@
         usage = self._running[team] / self._shares.get(team, 1.0)
         return rank, usage, team
 
-    def _refuse(self, ticket: Ticket) -> GiveUp:
+    def _refuse(self, ticket: Ticket) -> Rejection:
         self._waiting -= 1
-        return GiveUp(ticket=ticket, retry_after_s=self.expected_wait_s(ticket))
+        return Rejection(
+            ticket=ticket, retry_after_s=self.expected_wait_s(ticket)
+        )
 
     def _drop_empty(self) -> None:
         empty = [key for key, queue in self._queues.items() if not queue]
--- a/irisshelf/routing/owned/context.py
+++ b/irisshelf/routing/owned/context.py
@@ -43,7 +43,7 @@
         return self.shared_tokens + self.chat_tokens + self.new_tokens
 
     @property
-    def returning(self) -> bool:
+    def has_history(self) -> bool:
         """Whether the chat has had an answer before."""
         return self.chat_tokens > 0
 
--- a/irisshelf/routing/owned/health.py
+++ b/irisshelf/routing/owned/health.py
@@ -12,9 +12,9 @@
 
 from irisshelf.charts import chart
 
-FIRST_HOLD_S = 1.0
-MAX_HOLD_S = 30.0
-FORGET_FLAPS_S = 120.0
+MIN_HOLD_DOWN_S = 1.0
+MAX_HOLD_DOWN_S = 30.0
+FLAP_RESET_S = 120.0
 
 
 class Event(enum.StrEnum):
@@ -34,11 +34,11 @@
 
     state: str
     flaps: int = 0
-    heard_s: float = float("-inf")
-    down_at_s: float = float("-inf")
+    last_success_s: float = float("-inf")
+    down_since_s: float = float("-inf")
 
 
-class HealthBook:
+class HealthTracker:
     """Health of backend servers, named ``SERVER``, and ``SERVER/ENGINE``.
 
     One not heard of is taken as healthy: a new instance serves at once and
@@ -53,9 +53,9 @@
         """Returns the state of a server or engine itself."""
         return self._get(name).state
 
-    def heard_s(self, name: str) -> float:
+    def last_success_s(self, name: str) -> float:
         """Returns when a server or engine last answered well."""
-        return self._get(name).heard_s
+        return self._get(name).last_success_s
 
     def takes_work(self, name: str) -> bool:
         """Tells whether a server or engine may get new work."""
@@ -82,14 +82,14 @@
         state = self._chart.move(before.state, event.value)
         after = dataclasses.replace(before, state=state)
         if event in (Event.SUCCESS, Event.PROBE_OK):
-            after = dataclasses.replace(after, heard_s=now)
+            after = dataclasses.replace(after, last_success_s=now)
         if state == "down" and before.state != "down":
             after = _gone_down(after, now)
         self._servers[name] = after
         was = self._chart.has_tag(before.state, "takes_work")
         return was != self._chart.has_tag(state, "takes_work")
 
-    def keep(self, names: frozenset[str]) -> None:
+    def retain(self, names: frozenset[str]) -> None:
         """Drops all servers, and their engines, but these servers."""
         for name in list(self._servers):
             if name.partition("/")[0] not in names:
@@ -101,20 +101,20 @@
     def _held_down(self, health: Health, now: float) -> bool:
         if health.state != "down":
             return False
-        return now - health.down_at_s < hold_s(health.flaps)
+        return now - health.down_since_s < hold_down_s(health.flaps)
 
 
-def hold_s(flaps: int) -> float:
+def hold_down_s(flaps: int) -> float:
     """Returns how long a server stays out after its latest flap.
 
     Example:
-        >>> hold_s(1), hold_s(3)
+        >>> hold_down_s(1), hold_s(3)
         (1.0, 4.0)
     """
-    return min(MAX_HOLD_S, FIRST_HOLD_S * 2 ** max(0, flaps - 1))
+    return min(MAX_HOLD_DOWN_S, MIN_HOLD_DOWN_S * 2 ** max(0, flaps - 1))
 
 
 def _gone_down(health: Health, now: float) -> Health:
-    recent = now - health.down_at_s < FORGET_FLAPS_S
+    recent = now - health.down_since_s < FLAP_RESET_S
     flaps = health.flaps + 1 if recent else 1
-    return dataclasses.replace(health, flaps=flaps, down_at_s=now)
+    return dataclasses.replace(health, flaps=flaps, down_since_s=now)
--- a/irisshelf/routing/owned/load.py
+++ b/irisshelf/routing/owned/load.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Report:
+class LoadReport:
     """An engine's load, as it reports it.
 
     Attributes:
@@ -30,7 +30,7 @@
     at_s: float
 
 
-class LoadBook:
+class LoadTracker:
     """Outstanding work of engines numbered 0 to ``size - 1``.
 
     Args:
@@ -69,7 +69,7 @@
         self._instances = max(1, instances)
         self._recount()
 
-    def own(self, engine: int) -> float:
+    def own_work(self, engine: int) -> float:
         """Returns this instance's own outstanding work on an engine."""
         return self._own[engine]
 
@@ -92,7 +92,7 @@
         self._since[engine] += work
         self._total += self.estimate(engine) - before
 
-    def report(self, engine: int, report: Report) -> None:
+    def report(self, engine: int, report: LoadReport) -> None:
         """Takes an engine's report; an older one than the last is ignored."""
         if report.at_s <= self._base_at_s[engine]:
             return
--- a/irisshelf/routing/owned/ownership.py
+++ b/irisshelf/routing/owned/ownership.py
@@ -25,7 +25,7 @@
     data_centre: str
 
 
-class Owners:
+class OwnershipMap:
     """Owners of engines, each worked out when it is first asked for.
 
     An instance asks for few of them: its own data centre's, to know which are
@@ -36,9 +36,9 @@
         instances: Live instances.
 
     Example:
-        >>> owners = Owners(engines={"e": "a"},
+        >>> owners = OwnershipMap(engines={"e": "a"},
         ...     instances=[Candidate(name="i", data_centre="a")])
-        >>> owners.of("e")
+        >>> owners.owner_of("e")
         'i'
     """
 
@@ -53,7 +53,7 @@
         self._places = {name: _Place(here) for name, here in by_place.items()}
         self._everywhere = _Place(instances) if instances else None
 
-    def of(self, engine: str) -> str | None:
+    def owner_of(self, engine: str) -> str | None:
         """Returns an engine's owner; None if no instance lives."""
         if engine not in self._known:
             place = self._place(engine)
@@ -67,7 +67,7 @@
             for engine in self._engines
             if (place := self._place(engine)) is not None
             and instance in place
-            and self.of(engine) == instance
+            and self.owner_of(engine) == instance
         ]
 
     def _place(self, engine: str) -> _Place | None:
@@ -90,4 +90,4 @@
 
     def first(self, engine: str) -> str:
         key = context.hash64(engine.encode())
-        return self._names[self._ranking.among(key, self._all)[0]]
+        return self._names[self._ranking.rank_subset(key, self._all)[0]]
--- a/irisshelf/routing/owned/placement.py
+++ b/irisshelf/routing/owned/placement.py
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Totals:
+class WorkTotals:
     """Outstanding work on a group of engines.
 
     Attributes:
@@ -131,7 +131,7 @@
     ):
         self.cfg = cfg
         self.ranking = ranking.Ranking(members=members)
-        self.loads = load.LoadBook(size=len(members), instances=instances)
+        self.loads = load.LoadTracker(size=len(members), instances=instances)
         self.displaced = displaced.DisplacedChats()
         self._views = {
             engine: self._new_view() for engine in range(len(members))
@@ -142,7 +142,7 @@
         self._owned: Sequence[int] = range(len(members))
         self._is_owned = [True] * len(members)
         self._full: frozenset[int] = frozenset()
-        self._others = Totals(work=0.0, engines=0)
+        self._others = WorkTotals(work=0.0, engines=0)
         self._allowed = 1 + (cfg.load_bound - 1) * (1 - cfg.margin)
 
     @property
@@ -169,8 +169,8 @@
         for engine in owned:
             self._is_owned[engine] = True
 
-    def set_others(
-        self, totals: Totals, *, full: frozenset[int] = frozenset()
+    def set_remote_totals(
+        self, totals: WorkTotals, *, full: frozenset[int] = frozenset()
     ) -> None:
         """Takes what the other owners say.
 
@@ -181,16 +181,16 @@
         self._others = totals
         self._full = full
 
-    def totals(self) -> Totals:
+    def totals(self) -> WorkTotals:
         """Returns what this instance says of the engines that it owns."""
         works = [
             self.loads.estimate(engine)
             for engine in self._owned
             if self._available[engine]
         ]
-        return Totals(work=sum(works), engines=len(works))
+        return WorkTotals(work=sum(works), engines=len(works))
 
-    def full(self) -> frozenset[int]:
+    def full_engines(self) -> frozenset[int]:
         """Returns the engines owned here that are at their bound."""
         limit = self._allowed * self._mean(0.0)
         return frozenset(
@@ -199,11 +199,11 @@
             if self.loads.estimate(engine) >= limit > 0
         )
 
-    def arrived(self, ctx: context.Context, now: float) -> None:
+    def record_arrival(self, ctx: context.Context, now: float) -> None:
         """Counts a request that enters here, wherever it is placed."""
         self._popularity.add(ctx.shared_key, ctx.decode_tokens, now)
 
-    def entry(
+    def preferred_engine(
         self, ctx: context.Context, *, avoid: frozenset[int] = frozenset()
     ) -> int | None:
         """Returns the engine whose owner should place a request."""
@@ -211,7 +211,7 @@
             if self._available[engine] and engine not in avoid:
                 return engine
         for key in (ctx.shared_key, ctx.chat_key):
-            for engine in self.ranking.order(key) if key else ():
+            for engine in self.ranking.first_members(key) if key else ():
                 if self._available[engine] and engine not in avoid:
                     return engine
         for engine in range(len(self.ranking)):
@@ -261,16 +261,16 @@
         uncached = ctx.prompt_tokens - cached
         return ctx.decode_tokens + uncached * self.cfg.prefill_weight
 
-    def sent(
+    def record_sent(
         self, ctx: context.Context, placement: Placement, now: float
     ) -> None:
         """Counts a request that goes to its engine."""
         self.loads.add(placement.engine, placement.work, now)
         if self.cfg.use_cache_view and placement.engine in self._views:
             self._views[placement.engine].touch(ctx)
-        self.remember(ctx, placement.engine, placement.reason)
+        self.record_location(ctx, placement.engine, placement.reason)
 
-    def remember(
+    def record_location(
         self, ctx: context.Context, engine: int, reason: Reason
     ) -> None:
         """Notes where a chat's context now is, if that is not its home."""
@@ -281,24 +281,24 @@
         else:
             self.displaced.put(ctx.chat_key, engine)
 
-    def answered(
+    def record_answer(
         self, ctx: context.Context, engine: int, answer_tokens: int
     ) -> None:
         """Notes that an answer is whole, so that its text is cached too."""
         if self.cfg.use_cache_view and engine in self._views:
             self._views[engine].touch(ctx, answer_tokens=answer_tokens)
 
-    def lost_cache(self, engine: int) -> None:
+    def reset_cache(self, engine: int) -> None:
         """Notes that an engine has started anew."""
         if engine in self._views:
             self._views[engine].clear()
         self.displaced.discard_engine(engine)
 
-    def ended(self, engine: int, work: float, now: float) -> None:
+    def record_end(self, engine: int, work: float, now: float) -> None:
         """Counts work that is done, or that no longer runs."""
         self.loads.add(engine, -work, now)
 
-    def report(self, engine: int, report: load.Report) -> None:
+    def report(self, engine: int, report: load.LoadReport) -> None:
         """Takes an engine's report of its load."""
         if self.cfg.use_reports and self._is_owned[engine]:
             self.loads.report(engine, report)
@@ -323,18 +323,18 @@
         of the chats stay where they are.
         """
         if not ctx.shared_key:
-            return self.ranking.order(ctx.chat_key)[:1]
+            return self.ranking.first_members(ctx.chat_key)[:1]
         count = self.home_count(ctx)
         if count == 1:
-            return self.ranking.order(ctx.shared_key)[:1]
+            return self.ranking.first_members(ctx.shared_key)[:1]
         groups = max(1, count // HOMES_PER_GROUP)
         group = (ctx.chat_key >> _GROUP_SHIFT) & (groups - 1)
         key = ctx.shared_key ^ (group * _GROUP_SALT & _KEY_MASK)
-        homes = self.ranking.order(key)[: min(count, HOMES_PER_GROUP)]
-        return self.ranking.among(ctx.chat_key, homes)
+        homes = self.ranking.first_members(key)[: min(count, HOMES_PER_GROUP)]
+        return self.ranking.rank_subset(ctx.chat_key, homes)
 
     def _candidates(self, ctx: context.Context) -> Iterator[tuple[int, Reason]]:
-        if self.cfg.use_displaced and ctx.returning:
+        if self.cfg.use_displaced and ctx.has_history:
             known = self.displaced.get(ctx.chat_key)
             if known is not None:
                 yield known, Reason.DISPLACED
@@ -343,7 +343,7 @@
         for engine in homes[1:]:
             yield engine, Reason.OTHER_HOME
         for key in (ctx.shared_key, ctx.chat_key):
-            for engine in self.ranking.order(key) if key else ():
+            for engine in self.ranking.first_members(key) if key else ():
                 if self._is_owned[engine]:
                     yield engine, Reason.SPILL
 
@@ -404,7 +404,7 @@
         self, ctx: context.Context, avoid: frozenset[int]
     ) -> int | None:
         count = len(self.ranking)
-        order = self.ranking.order(ctx.chat_key)
+        order = self.ranking.first_members(ctx.chat_key)
         tries = (self._rng.randrange(count) for _ in range(_ROOM_TRIES))
         for engine in itertools.chain(order, tries):
             if (
--- a/irisshelf/routing/owned/ranking.py
+++ b/irisshelf/routing/owned/ranking.py
@@ -47,7 +47,7 @@
 
     Example:
         >>> ranking = Ranking(members=[Member(name="a"), Member(name="b")])
-        >>> sorted(ranking.order(12345))
+        >>> sorted(ranking.first_members(12345))
         [0, 1]
     """
 
@@ -63,7 +63,7 @@
     def __len__(self) -> int:
         return len(self.members)
 
-    def order(self, key: int) -> tuple[int, ...]:
+    def first_members(self, key: int) -> tuple[int, ...]:
         """Returns the first ``DEPTH`` members for a key, best first."""
         slot = key & self._mask
         kept = self._kept.get(slot)
@@ -72,12 +72,12 @@
             self._kept[slot] = kept
         return kept
 
-    def whole_order(self, key: int) -> tuple[int, ...]:
+    def full_order(self, key: int) -> tuple[int, ...]:
         """Returns all members for a key, best first; costs O(n log n)."""
         costs = self._costs(key & self._mask)
         return tuple(numpy.argsort(costs, kind="stable").tolist())
 
-    def among(self, key: int, subset: Sequence[int]) -> list[int]:
+    def rank_subset(self, key: int, subset: Sequence[int]) -> list[int]:
         """Ranks a few members for a key, by the key itself, not its slot."""
         picked = numpy.array(subset, dtype=numpy.intp)
         costs = self._costs_of(key, self._seeds[picked], self._weights[picked])
--- a/irisshelf/routing/owned/retry.py
+++ b/irisshelf/routing/owned/retry.py
@@ -52,7 +52,7 @@
 
     Returns:
         None to try again, or the caller's final answer. An earlier attempt
-        that may have run is the caller's to remember: see ``worst``.
+        that may have run is the caller's to remember: see ``combined_outcome``.
     """
     ran = failure.outcome is outcome.Outcome.UNKNOWN
     may_repeat = repeatable or not ran
@@ -72,11 +72,13 @@
     )
 
 
-def worst(first: outcome.Outcome, second: outcome.Outcome) -> outcome.Outcome:
+def combined_outcome(
+    first: outcome.Outcome, second: outcome.Outcome
+) -> outcome.Outcome:
     """Returns what to say of two attempts: ``unknown`` if either may have run.
 
     Example:
-        >>> worst(outcome.Outcome.UNKNOWN, outcome.Outcome.NOT_RUN)
+        >>> combined_outcome(outcome.Outcome.UNKNOWN, outcome.Outcome.NOT_RUN)
         <Outcome.UNKNOWN: 'unknown'>
     """
     if outcome.Outcome.UNKNOWN in (first, second):
@@ -84,7 +86,7 @@
     return outcome.Outcome.NOT_RUN
 
 
-class Course:
+class RetryState:
     """How one request fares over its attempts, and what follows each.
 
     Args:
@@ -107,25 +109,29 @@
         self._deadline_s = deadline_s
         self._budget = budget
         self._attempts = 0
-        self.worst = outcome.Outcome.NOT_RUN
+        self.worst_outcome = outcome.Outcome.NOT_RUN
 
-    def began(self) -> None:
+    def start_attempt(self) -> None:
         """Counts an attempt."""
         self._attempts += 1
 
-    def did_not_begin(self) -> None:
+    def cancel_attempt(self) -> None:
         """Takes an attempt back, as nobody took it."""
         self._attempts -= 1
 
-    def failed(self, failure: Failure, now: float) -> outcome.Refusal | None:
+    def record_failure(
+        self, failure: Failure, now: float
+    ) -> outcome.Refusal | None:
         """Takes how an attempt failed.
 
         Returns:
             None to try again, or the caller's final answer.
         """
-        self.worst = worst(self.worst, failure.outcome)
+        self.worst_outcome = combined_outcome(
+            self.worst_outcome, failure.outcome
+        )
         return decide(
-            dataclasses.replace(failure, outcome=self.worst),
+            dataclasses.replace(failure, outcome=self.worst_outcome),
             attempts=self._attempts,
             repeatable=self._repeatable,
             now=now,
@@ -133,10 +139,10 @@
             budget=self._budget,
         )
 
-    def nobody(self, detail: str) -> outcome.Refusal:
+    def no_target_left(self, detail: str) -> outcome.Refusal:
         """Returns the final answer when nobody is left to try."""
         return outcome.Refusal(
-            outcome=self.worst,
+            outcome=self.worst_outcome,
             cause=outcome.Cause.NO_ENGINE,
             retry_after_s=RETRY_AFTER_S,
             detail=detail,
--- a/irisshelf/routing/owned/service.py
+++ b/irisshelf/routing/owned/service.py
@@ -65,15 +65,19 @@
 
     Args:
         name: The service's name.
-        health_book: Health of all backend servers, shared between services.
+        health_tracker: Health of all backend servers, shared between services.
         rng: For ties.
     """
 
     def __init__(
-        self, *, name: str, health_book: health.HealthBook, rng: random.Random
+        self,
+        *,
+        name: str,
+        health_tracker: health.HealthTracker,
+        rng: random.Random,
     ):
         self.name = name
-        self._health = health_book
+        self._health = health_tracker
         self._rng = rng
         self._targets: tuple[Target, ...] = ()
         self._index: dict[str, int] = {}
@@ -81,8 +85,8 @@
         self._placer: placement.Placer | None = None
         self._instances = 1
         self._expected_decode: dict[int, float] = {}
-        self._owners: ownership.Owners | None = None
-        self._me = ""
+        self._owners: ownership.OwnershipMap | None = None
+        self._instance = ""
         self.cfg: schema.Service | None = None
         self.admission = admission.Admission(limit=1, shares={})
         self.budget = _budget(schema.RetryBudget(ratio=0.0, burst=0.0))
@@ -128,15 +132,17 @@
         self.placer.loads.set_instances(self._instances)
         self._limit_admission(bundle)
 
-    def set_owners(self, owners: ownership.Owners, *, me: str) -> None:
+    def set_owners(
+        self, owners: ownership.OwnershipMap, *, instance: str
+    ) -> None:
         """Sets which instance owns which target; before, this one owns all.
 
         Args:
             owners: Tells each target's owner.
-            me: This instance's name.
+            instance: This instance's name.
         """
         self._owners = owners
-        self._me = me
+        self._instance = instance
         self._apply_owners()
 
     def forward(self, target: Target) -> Forward:
@@ -145,11 +151,11 @@
 
     def owns(self, name: str) -> bool:
         """Tells whether this instance places on a target."""
-        return self._owner(name) == self._me
+        return self._owner(name) == self._instance
 
     def _owner(self, name: str) -> str:
-        owner = self._owners.of(name) if self._owners else None
-        return self._me if owner is None else owner
+        owner = self._owners.owner_of(name) if self._owners else None
+        return self._instance if owner is None else owner
 
     def target(self, name: str) -> Target | None:
         """Returns a target by its name."""
@@ -180,7 +186,7 @@
             self._index[name] for name in avoid if name in self._index
         )
         if entering and hops_left > 0:
-            first = self.placer.entry(ctx, avoid=avoided)
+            first = self.placer.preferred_engine(ctx, avoid=avoided)
             if first is None:
                 return None
             target = self._targets[first]
@@ -200,7 +206,7 @@
         self, ctx: context.Context, avoided: frozenset[int]
     ) -> Send | None:
         """Places on an engine of another owner, as a last resort."""
-        first = self.placer.entry(ctx, avoid=avoided)
+        first = self.placer.preferred_engine(ctx, avoid=avoided)
         if first is None:
             return None
         chosen = placement.Placement(
@@ -211,44 +217,44 @@
         target = self._targets[first]
         return Send(target=target, placement=chosen, context=ctx)
 
-    def sent(self, send: Send, now: float) -> None:
+    def record_sent(self, send: Send, now: float) -> None:
         """Counts a request that goes to its target."""
-        self.placer.sent(send.context, send.placement, now)
+        self.placer.record_sent(send.context, send.placement, now)
 
-    def progressed(self, send: Send, work: float, now: float) -> None:
+    def record_progress(self, send: Send, work: float, now: float) -> None:
         """Counts work of a request that is done, or no longer runs."""
         index = self._index.get(send.target.name)
         if index is not None:
-            self.placer.ended(index, work, now)
+            self.placer.record_end(index, work, now)
 
-    def answered(self, send: Send, answer_tokens: int) -> None:
+    def record_answer(self, send: Send, answer_tokens: int) -> None:
         """Notes a whole answer, whose text its engine has cached."""
         index = self._index.get(send.target.name)
         if index is not None:
-            self.placer.answered(send.context, index, answer_tokens)
+            self.placer.record_answer(send.context, index, answer_tokens)
 
-    def placed_elsewhere(
+    def record_remote_placement(
         self, ctx: context.Context, target: str, reason: str
     ) -> None:
         """Notes where another owner placed a chat whose home is here."""
         index = self._index.get(target)
         known = reason in {r.value for r in placement.Reason}
         if index is not None and known:
-            self.placer.remember(ctx, index, placement.Reason(reason))
+            self.placer.record_location(ctx, index, placement.Reason(reason))
 
-    def lost_cache(self, name: str) -> None:
+    def reset_cache(self, name: str) -> None:
         """Notes that a target has started anew."""
         index = self._index.get(name)
         if index is not None:
-            self.placer.lost_cache(index)
+            self.placer.reset_cache(index)
 
-    def totals(self) -> placement.Totals:
+    def totals(self) -> placement.WorkTotals:
         """Returns the work on the targets that this instance owns."""
         return self.placer.totals()
 
-    def full(self) -> frozenset[int]:
+    def full_targets(self) -> frozenset[int]:
         """Returns the owned targets, by number, that are at their bound."""
-        return self.placer.full()
+        return self.placer.full_engines()
 
     def refresh(self, name: str) -> None:
         """Applies the health of a server or an engine to placement."""
@@ -258,13 +264,13 @@
             fit = self._health.takes_work(self._targets[index].name)
             self.placer.set_available(index, fit)
 
-    def report(self, target: str, report: load.Report) -> None:
+    def report(self, target: str, report: load.LoadReport) -> None:
         """Takes a target's report of its load."""
         index = self._index.get(target)
         if index is not None:
             self.placer.report(index, report)
 
-    def decoded(self, limit: int, tokens: int) -> None:
+    def record_answer_length(self, limit: int, tokens: int) -> None:
         """Learns from an answer's length what to expect of the next.
 
         Args:
@@ -285,7 +291,7 @@
         )
         return max(1, round(min(expected, limit) if limit else expected))
 
-    def tick(self, now: float) -> list[admission.GiveUp]:
+    def tick(self, now: float) -> list[admission.Rejection]:
         """Drops old reports and refuses what has waited too long."""
         self.placer.loads.expire(now)
         return self.admission.expire(now)
@@ -324,7 +330,7 @@
         """Keeps count of what runs on engines that stay."""
         for name, old in old_index.items():
             new = self._index.get(name)
-            own = before.loads.own(old)
+            own = before.loads.own_work(old)
             if new is not None and own > 0:
                 self.placer.loads.add(new, own, now)
 
@@ -335,7 +341,7 @@
     def _owned_indexes(self) -> Sequence[int]:
         if self._owners is None:
             return range(len(self._targets))
-        owned = self._owners.owned_by(self._me)
+        owned = self._owners.owned_by(self._instance)
         return [self._index[name] for name in owned if name in self._index]
 
     def _limit_admission(self, bundle: schema.Bundle) -> None:
--- a/irisshelf/routing/owned/stream.py
+++ b/irisshelf/routing/owned/stream.py
@@ -28,7 +28,7 @@
     AFTER_END = "after_end"
 
 
-BAD = frozenset(
+INVALID = frozenset(
     {
         Verdict.OTHER_ATTEMPT,
         Verdict.GAP,
@@ -38,7 +38,7 @@
 )
 
 
-class Checker:
+class StreamChecker:
     r"""Follows one attempt's stream.
 
     Args:
@@ -46,7 +46,7 @@
         next_offset: Offset expected first; above 0 after a resume.
 
     Example:
-        >>> Checker(attempt_id="a").check(b"id: a:0\ndata: x\n\n")
+        >>> StreamChecker(attempt_id="a").check(b"id: a:0\ndata: x\n\n")
         <Verdict.CHUNK: 'chunk'>
     """
 
--- a/irisshelf/routing/retry_budget.py
+++ b/irisshelf/routing/retry_budget.py
@@ -35,7 +35,7 @@
         instances: How many there are; None if that is not known.
 
     Example:
-        >>> share_of_slack(60.0, 9)
+        >>> instance_slack(60.0, 9)
         4.0
     """
     count = _ASSUMED if instances is None else max(_FEWEST, instances)
--- a/irisshelf/tests/test_admission.py
+++ b/irisshelf/tests/test_admission.py
@@ -22,26 +22,28 @@
 
 def _fill(gate, team, count):
     for i in range(count):
-        gate.arrive(_ticket(f"{team}{i}", team), 0.0)
+        gate.submit(_ticket(f"{team}{i}", team), 0.0)
 
 
 def test_a_small_team_starts_at_once_while_a_large_one_surges():
     gate = admission.Admission(limit=20, shares={"big": 3.0, "small": 1.0})
     _fill(gate, "big", 40)
     assert gate.running == 18  # The reserve stays free.
-    assert isinstance(gate.arrive(_ticket("s", "small"), 0.0), admission.Start)
+    assert isinstance(
+        gate.submit(_ticket("s", "small"), 0.0), admission.Admitted
+    )
 
 
 def test_what_waits_starts_by_priority_then_by_share():
     gate = admission.Admission(limit=1, shares={"a": 1.0, "b": 4.0})
-    gate.arrive(_ticket("running"), 0.0)
-    gate.arrive(_ticket("a1", "a"), 0.0)
-    gate.arrive(_ticket("b1", "b"), 0.0)
+    gate.submit(_ticket("running"), 0.0)
+    gate.submit(_ticket("a1", "a"), 0.0)
+    gate.submit(_ticket("b1", "b"), 0.0)
     urgent = schema.Priority.URGENT
-    gate.arrive(_ticket("u1", "a", urgent), 0.0)
+    gate.submit(_ticket("u1", "a", urgent), 0.0)
     order = []
     for team in ("a", "a", "a"):
-        (started,) = gate.ended(team, 0.1)
+        (started,) = gate.record_end(team, 0.1)
         order.append(started.ticket.request_id)
     assert order[0] == "u1"
     assert set(order[1:]) == {"a1", "b1"}
@@ -49,30 +51,30 @@
 
 def test_what_cannot_start_in_time_is_refused_at_once():
     gate = admission.Admission(limit=1, shares={})
-    gate.arrive(_ticket("running"), 0.0)
-    step = gate.arrive(_ticket("late", deadline_s=0.1), 0.0)
-    assert isinstance(step, admission.GiveUp)
+    gate.submit(_ticket("running"), 0.0)
+    step = gate.submit(_ticket("late", deadline_s=0.1), 0.0)
+    assert isinstance(step, admission.Rejection)
     assert step.retry_after_s > 0
     assert gate.waiting == 0
 
 
 def test_what_waits_past_its_deadline_is_refused():
     gate = admission.Admission(limit=1, shares={})
-    gate.arrive(_ticket("running"), 0.0)
-    gate.arrive(_ticket("waits", deadline_s=5.0), 0.0)
+    gate.submit(_ticket("running"), 0.0)
+    gate.submit(_ticket("waits", deadline_s=5.0), 0.0)
     assert gate.expire(4.9) == []
     (refused,) = gate.expire(5.0)
     assert refused.ticket.request_id == "waits"
-    assert gate.ended("a", 1.0) == []
+    assert gate.record_end("a", 1.0) == []
 
 
 def test_a_caller_that_goes_away_leaves_the_queue():
     gate = admission.Admission(limit=1, shares={})
-    gate.arrive(_ticket("running"), 0.0)
+    gate.submit(_ticket("running"), 0.0)
     waits = _ticket("waits")
-    gate.arrive(waits, 0.0)
-    gate.withdraw(waits)
-    assert gate.ended("a", 1.0) == []
+    gate.submit(waits, 0.0)
+    gate.cancel(waits)
+    assert gate.record_end("a", 1.0) == []
     assert (gate.running, gate.waiting) == (0, 0)
 
 
@@ -110,7 +112,7 @@
 
 
 def _course(**changes):
-    return retry.Course(
+    return retry.RetryState(
         **{
             "repeatable": True,
             "deadline_s": 10.0,
@@ -126,21 +128,21 @@
 
 def test_what_one_attempt_may_have_done_is_said_of_the_whole_course():
     course = _course()
-    course.began()
-    assert course.failed(_failure(outcome.Outcome.UNKNOWN), 0.0) is None
-    course.began()
-    assert course.failed(_failure(outcome.Outcome.NOT_RUN), 0.0) is None
-    assert course.nobody("none left").outcome is outcome.Outcome.UNKNOWN
+    course.start_attempt()
+    assert course.record_failure(_failure(outcome.Outcome.UNKNOWN), 0.0) is None
+    course.start_attempt()
+    assert course.record_failure(_failure(outcome.Outcome.NOT_RUN), 0.0) is None
+    assert course.no_target_left("none left").outcome is outcome.Outcome.UNKNOWN
 
 
 def test_a_course_ends_with_its_attempts_but_for_those_that_nobody_took():
     course = _course()
     for _ in range(5):
-        course.began()
-        course.did_not_begin()
+        course.start_attempt()
+        course.cancel_attempt()
     for last in range(retry.MAX_ATTEMPTS):
-        course.began()
-        refusal = course.failed(_failure(outcome.Outcome.NOT_RUN), 0.0)
+        course.start_attempt()
+        refusal = course.record_failure(_failure(outcome.Outcome.NOT_RUN), 0.0)
         assert (refusal is None) == (last < retry.MAX_ATTEMPTS - 1)
 
 
@@ -177,13 +179,13 @@
         "R": _V.REPEATED, "K": _V.KEEP_ALIVE, "?": _V.GARBLED,
         "A": _V.AFTER_END,
     }  # fmt: skip
-    checker = stream.Checker(attempt_id="a")
+    checker = stream.StreamChecker(attempt_id="a")
     found = [checker.check(event) for event in events]
     assert found == [names[letter] for letter in verdicts]
 
 
 def test_health_goes_down_holds_and_comes_back_on_probation():
-    book = health.HealthBook()
+    book = health.HealthTracker()
     book.observe("s", health.Event.UNREACHABLE, 0.0)
     assert not book.takes_work("s")
     assert not book.observe("s", health.Event.PROBE_OK, 0.5)  # Held down.
@@ -194,7 +196,7 @@
 
 
 def test_each_flap_holds_a_server_out_longer():
-    book = health.HealthBook()
+    book = health.HealthTracker()
     now = 0.0
     waits = []
     for _ in range(7):
@@ -215,7 +217,7 @@
     ],
 )
 def test_an_engine_takes_work_if_it_and_its_server_do(name, event, others):
-    book = health.HealthBook()
+    book = health.HealthTracker()
     book.observe(name, event, 0.0)
     assert not book.takes_work("s/e0")
     assert book.takes_work("s/e1") == others
@@ -224,7 +226,7 @@
 def test_every_edge_of_the_health_chart_is_walked_by_the_book():
     edges = chart.load("backend_health").edges
     for edge in edges:
-        book = health.HealthBook()
+        book = health.HealthTracker()
         book._servers["s"] = health.Health(state=edge.source)
         book.observe("s", health.Event(edge.event), 1000.0)
         assert book.state("s") == edge.dest, edge
--- a/irisshelf/tests/test_forwarding.py
+++ b/irisshelf/tests/test_forwarding.py
@@ -86,11 +86,11 @@
         relay_address=owner.address,
     )
     instance.node.services["lm"].set_owners(
-        ownership.Owners(
+        ownership.OwnershipMap(
             engines={"lm-0/e0": "espoo-a", "lm-0/e1": "espoo-a"},
             instances=[ownership.Candidate(name=_OWNER, data_centre="espoo-a")],
         ),
-        me="i0",
+        instance="i0",
     )
     yield instance, engines, owner
     owner.stop()
--- a/irisshelf/tests/test_routing.py
+++ b/irisshelf/tests/test_routing.py
@@ -43,8 +43,8 @@
     one = ranking.Ranking(members=members)
     two = ranking.Ranking(members=shuffled)
     for key in range(50):
-        names_one = [members[i].name for i in one.order(key)]
-        names_two = [shuffled[i].name for i in two.order(key)]
+        names_one = [members[i].name for i in one.first_members(key)]
+        names_two = [shuffled[i].name for i in two.first_members(key)]
         assert names_one == names_two
 
 
@@ -52,9 +52,9 @@
     before = ranking.Ranking(members=_members(20))
     after = ranking.Ranking(members=_members(19))
     moved = sum(
-        before.order(key)[0] != after.order(key)[0]
+        before.first_members(key)[0] != after.first_members(key)[0]
         for key in range(4000)
-        if before.order(key)[0] != 19
+        if before.first_members(key)[0] != 19
     )
     assert moved == 0
 
@@ -65,23 +65,25 @@
         ranking.Member(name="b", weight=3.0),
     ]
     ranks = ranking.Ranking(members=members)
-    firsts = collections.Counter(ranks.order(key)[0] for key in range(20_000))
+    firsts = collections.Counter(
+        ranks.first_members(key)[0] for key in range(20_000)
+    )
     assert 0.72 < firsts[1] / 20_000 < 0.78
 
 
 @pytest.mark.parametrize("key", [0, 1, (1 << 64) - 1])
 def test_whole_order_starts_with_order(key):
     ranks = ranking.Ranking(members=_members(40))
-    whole = ranks.whole_order(key)
-    assert whole[: ranking.DEPTH] == ranks.order(key)
+    whole = ranks.full_order(key)
+    assert whole[: ranking.DEPTH] == ranks.first_members(key)
     assert sorted(whole) == list(range(40))
 
 
 def test_a_chat_comes_back_to_the_same_engine():
     placer = _placer()
     first = placer.place(_ctx())
-    placer.sent(_ctx(), first, 0.0)
-    placer.ended(first.engine, first.work, 1.0)
+    placer.record_sent(_ctx(), first, 0.0)
+    placer.record_end(first.engine, first.work, 1.0)
     again = placer.place(_ctx(chat_tokens=100))
     assert again.engine == first.engine
     assert again.reason is placement.Reason.HOME
@@ -93,10 +95,10 @@
     rng = random.Random(3)
     for chat in range(2000):
         ctx = _ctx(chat, shared=1 + chat % 3, decode=rng.randint(20, 400))
-        placer.arrived(ctx, chat * 0.01)
+        placer.record_arrival(ctx, chat * 0.01)
         placed = placer.place(ctx)
         biggest = max(biggest, placed.work)
-        placer.sent(ctx, placed, chat * 0.01)
+        placer.record_sent(ctx, placed, chat * 0.01)
         loads = placer.loads.estimates()
         mean = sum(loads) / len(loads)
         assert max(loads) <= 1.25 * mean + biggest
@@ -128,21 +130,21 @@
     home = placer.place(_ctx()).engine
     placer.set_available(home, False)
     away = placer.place(_ctx())
-    placer.sent(_ctx(), away, 0.0)
-    placer.ended(away.engine, away.work, 1.0)
+    placer.record_sent(_ctx(), away, 0.0)
+    placer.record_end(away.engine, away.work, 1.0)
     placer.set_available(home, True)
     again = placer.place(_ctx(chat_tokens=50))
     assert (again.engine, again.reason) == (
         away.engine,
         placement.Reason.DISPLACED,
     )
-    placer.lost_cache(away.engine)
+    placer.reset_cache(away.engine)
     assert placer.place(_ctx(chat_tokens=50)).engine == home
 
 
 def test_an_owner_forwards_what_it_does_not_own():
     placer = _placer(count=8)
-    home = placer.entry(_ctx())
+    home = placer.preferred_engine(_ctx())
     placer.set_owned([e for e in range(8) if e != home])
     assert placer.place(_ctx(), may_forward=True) == placement.Forward(
         engine=home
@@ -154,10 +156,10 @@
 
 def test_a_full_engine_of_another_owner_is_not_asked():
     placer = _placer(count=8)
-    home = placer.entry(_ctx())
+    home = placer.preferred_engine(_ctx())
     placer.set_owned([e for e in range(8) if e != home])
-    placer.set_others(
-        placement.Totals(work=500.0, engines=1), full=frozenset([home])
+    placer.set_remote_totals(
+        placement.WorkTotals(work=500.0, engines=1), full=frozenset([home])
     )
     placed = placer.place(_ctx(), may_forward=True)
     assert isinstance(placed, placement.Placement)
@@ -166,22 +168,24 @@
 def test_a_hot_history_is_spread_and_a_cold_one_is_not():
     placer = _placer(count=64)
     for chat in range(400):
-        placer.arrived(_ctx(chat, shared=1), 0.0)
-    placer.arrived(_ctx(0, shared=2), 0.0)
+        placer.record_arrival(_ctx(chat, shared=1), 0.0)
+    placer.record_arrival(_ctx(0, shared=2), 0.0)
     assert placer.home_count(_ctx(0, shared=1)) == 64
     assert placer.home_count(_ctx(0, shared=2)) == 1
-    homes = {placer.entry(_ctx(chat, shared=1)) for chat in range(400)}
+    homes = {
+        placer.preferred_engine(_ctx(chat, shared=1)) for chat in range(400)
+    }
     assert len(homes) > 32
 
 
 def test_reports_replace_own_sends_and_age():
-    book = load.LoadBook(size=2, instances=3, max_report_age_s=10)
+    book = load.LoadTracker(size=2, instances=3, max_report_age_s=10)
     book.add(0, 10.0, now=1.0)
     assert book.estimate(0) == 30.0  # Others are thought to send alike.
-    book.report(0, load.Report(work=50.0, at_s=2.0))
+    book.report(0, load.LoadReport(work=50.0, at_s=2.0))
     book.add(0, 5.0, now=3.0)
     assert book.estimate(0) == 55.0
-    book.report(0, load.Report(work=99.0, at_s=1.5))
+    book.report(0, load.LoadReport(work=99.0, at_s=1.5))
     assert book.estimate(0) == 55.0  # Older than the last one.
     book.expire(now=13.0)
     assert book.estimate(0) == 45.0
@@ -189,10 +193,10 @@
 
 
 def test_a_late_report_does_not_count_sends_twice():
-    book = load.LoadBook(size=1)
+    book = load.LoadTracker(size=1)
     book.add(0, 10.0, now=1.0)
     book.add(0, 7.0, now=3.0)
-    book.report(0, load.Report(work=10.0, at_s=2.0))
+    book.report(0, load.LoadReport(work=10.0, at_s=2.0))
     assert book.estimate(0) == 17.0
 
 
@@ -226,11 +230,11 @@
 
 
 def _owners(engines, instances):
-    found = ownership.Owners(engines=engines, instances=instances)
+    found = ownership.OwnershipMap(engines=engines, instances=instances)
     for instance in instances:
-        owned = [e for e in engines if found.of(e) == instance.name]
+        owned = [e for e in engines if found.owner_of(e) == instance.name]
         assert found.owned_by(instance.name) == owned
-    return {engine: found.of(engine) for engine in engines}
+    return {engine: found.owner_of(engine) for engine in engines}
 
 
 def test_owners_stand_in_the_engines_data_centre_and_move_little():
@@ -279,7 +283,7 @@
         chat,
         new,
     )
-    assert ctx.returning == (chat > 0)
+    assert ctx.has_history == (chat > 0)
 
 
 def test_a_chat_keeps_its_key_as_it_grows_and_teams_differ():
--- a/specs/fuzz.py
+++ b/specs/fuzz.py
@@ -173,7 +173,7 @@
         relay_messages.decode(self._coded(_RELAY))
 
     def _stream(self) -> None:
-        checker = stream.Checker(attempt_id="a", next_offset=3)
+        checker = stream.StreamChecker(attempt_id="a", next_offset=3)
         event = b'id: a:3\ndata: {"choices":[{"delta":{"content":"x"}}]}\n\n'
         self._data = mutate_bytes(event, self._rng)
         checker.check(self._data)
