--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -52,7 +52,7 @@
 
 
 def _serve(inst: instance.Instance, job: messages.Job) -> None:
-    inst.note_sleep()
+    inst.log_suspend()
     inst.crashes.verdict(job)
     inst.crashes.served(job)
 
@@ -73,7 +73,7 @@
 
 
 def _job(body: bytes) -> messages.Job:
-    inbound = messages.Inbound(
+    inbound = messages.InboundRequest(
         method="POST",
         target="/lezi911/2f",
         headers=(),
@@ -83,7 +83,7 @@
     )
     return messages.Job(
         inbound=inbound,
-        ask=messages.Ask(request_id="r", host="h", path="/lezi911/2f"),
+        head=messages.RequestHead(request_id="r", host="h", path="/lezi911/2f"),
         route=model.Route(
             name="r",
             host="h",
@@ -97,7 +97,7 @@
         team="blue",
         priority=1,
         version=1,
-        until_s=1.0,
+        deadline_s=1.0,
     )
 
 
--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -237,13 +237,13 @@
         cfg = loaded.ok_value
         fixed = ("instance", "data_centre", "listen", "store", "seeds")
         later = [n for n in fixed if getattr(cfg, n) != _get(self._inst.cfg, n)]
-        self._inst.take_settings(cfg)
+        self._inst.apply_settings(cfg)
         self._log.instance("reload", why=why, from_next_start=later)
 
     def _ready(
         self, request: caller_side.Request, conn: caller_side.Connection
     ) -> None:
-        ready = self._inst.answer_readiness()
+        ready = self._inst.check_readiness()
         conn.answer(_OK if ready else _UNAVAILABLE, [], b"")
 
     def _metrics(
--- a/irisshelf/gateway/dialect.py
+++ b/irisshelf/gateway/dialect.py
@@ -17,27 +17,27 @@
     """Translates heads of requests and answers."""
 
     @abc.abstractmethod
-    def ask(self, inbound: messages.Inbound) -> result.Result:
+    def parse_request(self, inbound: messages.InboundRequest) -> result.Result:
         """Reads a request's head.
 
         Returns:
-            A ``messages.Ask``, or a text that says what is wrong with it.
+            A ``messages.RequestHead``, or a text that names the fault.
         """
 
     @abc.abstractmethod
-    def request_headers(
-        self, inbound: messages.Inbound, send: messages.Send
+    def backend_request_headers(
+        self, inbound: messages.InboundRequest, send: messages.ForwardedContext
     ) -> list[tuple[bytes, bytes]]:
         """Builds a backend server's headers, without framing."""
 
     @abc.abstractmethod
-    def answer_head(
+    def parse_answer(
         self, status: int, headers: messages.Headers
     ) -> messages.AnswerHead:
         """Reads the head of a backend server's answer."""
 
     @abc.abstractmethod
-    def own_headers(
+    def local_answer_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> list[tuple[bytes, bytes]]:
         """Builds headers of an answer that the instance itself gives."""
--- a/irisshelf/gateway/instance.py
+++ b/irisshelf/gateway/instance.py
@@ -21,7 +21,7 @@
 # Where withdrawals bind strictly, a key holds for so long after the store last
 # confirmed it, as a share of the bound: the store may tell a change a second
 # late (when it drops its history).
-KEY_SHARE = 0.76
+KEY_AGE_SHARE = 0.76
 # A call on the configuration is held for the time that one has to come into
 # force, at the most, and answered within this time after; see ``follower``.
 _ANSWER_S = 0.6
@@ -89,13 +89,13 @@
         self.in_flight = 0
         self._sleep_meter = boottime.SleepMeter()
 
-    def take_settings(self, cfg: settings.Settings) -> None:
+    def apply_settings(self, cfg: settings.Settings) -> None:
         """Takes settings that were read anew."""
         self.cfg = cfg
         self.servers.cfg = cfg
         self.eligible.cfg = cfg
 
-    def note_sleep(self) -> None:
+    def log_suspend(self) -> None:
         """Logs that the machine has slept, if it has since the last time.
 
         Asked before each request is admitted. What ran out in the sleep has
@@ -111,11 +111,11 @@
             for_s=round(slept_s, 3),
             in_flight=self.in_flight,
             catalog_age_s=round(age_s, 3) if age_s < 1e9 else None,
-            keys_hold=self.keys_hold(),
+            keys_hold=self.keys_valid(),
         )
 
     @property
-    def knows(self) -> bool:
+    def configured(self) -> bool:
         """Whether configuration and servers are known."""
         return self._listed and self.catalog is not None
 
@@ -135,7 +135,7 @@
         services = self.catalog.services if self.catalog else ()
         return self.servers.isolated(services)
 
-    def answer_readiness(self) -> bool:
+    def check_readiness(self) -> bool:
         """Tells whether it is ready, and logs it if that has changed."""
         why = self._why_not_ready()
         ready = not why
@@ -154,25 +154,25 @@
         return ready
 
     def _why_not_ready(self) -> str:
-        if not self.knows:
+        if not self.configured:
             return "no configuration yet"
         if self.stopping:
             return "stopping"
-        if not self.keys_hold():
+        if not self.keys_valid():
             return "cut off from the store"
         if self.isolated:
             return "no server in reach"
         return ""
 
-    def keys_hold(self) -> bool:
+    def keys_valid(self) -> bool:
         """Tells whether the store has confirmed the keys lately enough."""
         bounds = self.cfg.bounds
         bound_s = bounds.keys_unconfirmed_s
         if bounds.keys_strict:
-            bound_s = bounds.key_withdrawn_ms / 1000 * KEY_SHARE
+            bound_s = bounds.key_withdrawn_ms / 1000 * KEY_AGE_SHARE
         return self.freshness.age_s(self.now()) <= bound_s
 
-    def may_be_out_of_date(self) -> bool:
+    def catalog_may_be_stale(self) -> bool:
         """Tells whether a configuration may be owed that is not in force.
 
         Its age grows while a call is held, so that it is in doubt only once
@@ -181,7 +181,7 @@
         in_force_s = self.cfg.bounds.catalog_in_force_ms / 1000
         return self.freshness.age_s(self.now()) > in_force_s + _ANSWER_S
 
-    def adopt(self, catalog: model.Catalog) -> bool:
+    def apply_catalog(self, catalog: model.Catalog) -> bool:
         """Brings a configuration into force, unless it is an older one."""
         if self.catalog is not None and (
             catalog.version <= self.catalog.version
@@ -215,7 +215,7 @@
         for data_centre in changed.lifted:
             self.eligible.evacuation_lifted(data_centre)
 
-    def server_list_taken(self) -> None:
+    def server_list_loaded(self) -> None:
         """Notes that the store's list has been read."""
         self._listed = True
         self.servers.list_changed()
--- a/irisshelf/gateway/knowledge/operator_state.py
+++ b/irisshelf/gateway/knowledge/operator_state.py
@@ -80,7 +80,7 @@
                 rows.append(item.value)
             elif isinstance(item.value, model.Catalog):
                 self.stored_version = item.value.version
-                brought |= self._inst.adopt(item.value)
+                brought |= self._inst.apply_catalog(item.value)
                 self._hold(item)
         self._take_evacuations(batch, rows, now)
         return brought and catalog is not None
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -74,7 +74,7 @@
             self._inst.directory.apply(changes)
         self._position = position
         self._changes.add(changes, position, now)
-        self._inst.server_list_taken()
+        self._inst.server_list_loaded()
         self._inst.eligible.entries_told(changes)
         self._log_changes(changes, position, now, whole=False)
 
@@ -109,7 +109,7 @@
             copied=copied,
         )
         self._changes.restart(position)
-        self._inst.server_list_taken()
+        self._inst.server_list_loaded()
         self._inst.eligible.entries_told(entries)
         self._log_changes(entries, position, now, whole=True)
 
--- a/irisshelf/gateway/knowledge/store_timing.py
+++ b/irisshelf/gateway/knowledge/store_timing.py
@@ -99,6 +99,6 @@
         bounds.evacuated_ms or math.inf,
     )
     if bounds.keys_strict:
-        keys_ms = instance_module.KEY_SHARE * bounds.key_withdrawn_ms
+        keys_ms = instance_module.KEY_AGE_SHARE * bounds.key_withdrawn_ms
         tightest_ms = min(tightest_ms, keys_ms)
     return shared_watch.timing(tightest_ms / 1000)
--- a/irisshelf/gateway/messages.py
+++ b/irisshelf/gateway/messages.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Inbound:
+class InboundRequest:
     """A caller's request as it came in.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Ask:
+class RequestHead:
     """What a request's headers say.
 
     Attributes:
@@ -62,7 +62,7 @@
 
     Attributes:
         inbound: As it came in.
-        ask: What its headers say.
+        head: What its headers say.
         route: Its route.
         service: The service that takes it.
         team: The team that its key belongs to.
@@ -72,19 +72,19 @@
         regions: Where it may be served; None for anywhere.
     """
 
-    inbound: Inbound
-    ask: Ask
+    inbound: InboundRequest
+    head: RequestHead
     route: model.Route
     service: str
     team: str
     priority: int
     version: int
-    until_s: float
+    deadline_s: float
     regions: frozenset[str] | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Send:
+class ForwardedContext:
     """What a backend server is told beside the caller's own headers.
 
     Attributes:
@@ -166,7 +166,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Final:
+class CompleteAnswer:
     """A whole answer to the caller.
 
     Attributes:
--- a/irisshelf/gateway/requests/admission.py
+++ b/irisshelf/gateway/requests/admission.py
@@ -35,7 +35,7 @@
         priority=job.priority,
         team=job.team,
         objective_s=job.route.target_s,
-        left_s=job.until_s - now,
+        left_s=job.deadline_s - now,
     )
     wait_s = service.wait_s(choice.load, choice.server.slots)
     refusal = service.arrive(arrival, wait_s, now, full=choice.full)
@@ -67,7 +67,7 @@
 ) -> None:
     inst.log.request(
         "overloaded",
-        job.ask.request_id,
+        job.head.request_id,
         server=choice.server.server_id,
         load=round(choice.load, 1),
         priority=job.priority,
--- a/irisshelf/gateway/requests/attempt.py
+++ b/irisshelf/gateway/requests/attempt.py
@@ -41,7 +41,7 @@
         seen: server_book.Seen,
         outcome: outcome.Outcome,
         detail: str,
-        final: messages.Final | None = None,
+        final: messages.CompleteAnswer | None = None,
         excuse: bool = False,
         cut: bool = False,
     ):
@@ -108,7 +108,7 @@
             server=choice.server,
             conn=conn,
             leave=leave,
-            end_s=job.until_s,
+            end_s=job.deadline_s,
         )
 
     def run(self) -> None:
@@ -152,15 +152,15 @@
     def _exchange_head(self) -> messages.AnswerHead:
         job = self._job
         source = self._choice.source
-        told = messages.Send(
+        told = messages.ForwardedContext(
             entry_id=self._choice.server.entry_id,
             team=job.team,
-            left_s=self._job.until_s - self._inst.now(),
+            left_s=self._job.deadline_s - self._inst.now(),
             priority=job.priority,
             cache_source=source.address if source else "",
             last_event_id=self._progress.last_event_id,
         )
-        headers = self._inst.dialect.request_headers(job.inbound, told)
+        headers = self._inst.dialect.backend_request_headers(job.inbound, told)
         if job.route.kind is model.RouteKind.UNSAFE:
             # It must run once; that its caller leaves does not undo it.
             self._caller.detach_caller()
@@ -183,15 +183,15 @@
         try:
             while True:
                 status, raw = self._watched.read_head(until_s)
-                head = self._inst.dialect.answer_head(status, raw)
+                head = self._inst.dialect.parse_answer(status, raw)
                 self._inst.servers.reports.take(
-                    self._choice.server, head.report, self._job.ask.request_id
+                    self._choice.server, head.report, self._job.head.request_id
                 )
-                if head.request_id in ("", self._job.ask.request_id):
+                if head.request_id in ("", self._job.head.request_id):
                     return head
                 self._inst.log.request(
                     "stray_answer",
-                    self._job.ask.request_id,
+                    self._job.head.request_id,
                     belongs_to=head.request_id,
                 )
                 self._conn.skip_answer(timeout_s=until_s - self._inst.now())
@@ -223,7 +223,7 @@
             ),
             outcome=outcome.Outcome.UNKNOWN,
             detail=f"answered {head.status}",
-            final=messages.Final(
+            final=messages.CompleteAnswer(
                 status=head.status, headers=head.headers, body=body
             ),
         )
--- a/irisshelf/gateway/requests/call.py
+++ b/irisshelf/gateway/requests/call.py
@@ -57,7 +57,7 @@
         )
         self._events_before = 0
         self._progress = attempt_module.Progress(
-            last_event_id=job.ask.last_event_id
+            last_event_id=job.head.last_event_id
         )
 
     def run(self) -> str:
@@ -95,7 +95,7 @@
                 return self._give_up(stop)
 
     def _left_s(self) -> float:
-        return self._job.until_s - self._inst.now()
+        return self._job.deadline_s - self._inst.now()
 
     def _send(
         self, choice: server_choice.Choice, conn: client.Connection
@@ -104,7 +104,7 @@
         self._log_send(choice, conn.rested_s)
         self._sends.count += 1
         self._events_before = self._progress.events
-        self._inst.servers.sent_prompt(server, self._job.ask.prompt)
+        self._inst.servers.sent_prompt(server, self._job.head.prompt)
         attempt_module.Attempt(
             inst=self._inst,
             job=self._job,
@@ -158,7 +158,7 @@
         stop = self._sends.why_stop(exc, blamed=blamed, left_s=self._left_s())
         self._inst.log.request(
             "send_failed",
-            self._job.ask.request_id,
+            self._job.head.request_id,
             server=server.server_id,
             cause=exc.seen.value,
             outcome=exc.outcome.value,
@@ -181,7 +181,7 @@
 
     def _give_up(self, why: str) -> str:
         """Gives the final answer to a request that is not served."""
-        request = self._job.ask.request_id
+        request = self._job.head.request_id
         if self._conn.began:
             self._conn.abort()
             return f"cut_{why}"
@@ -199,7 +199,9 @@
             late = self._left_s() <= 0
             status = _GATEWAY_TIMEOUT if late else _BAD_GATEWAY
             retry_after_s = None
-        headers = self._inst.dialect.own_headers(request, retry_after_s)
+        headers = self._inst.dialect.local_answer_headers(
+            request, retry_after_s
+        )
         body = f'{{"error": "{why}", "outcome": "{worst.value}"}}'
         self._conn.answer(status, headers, body.encode())
         return f"{worst.value}_{why}"
@@ -210,13 +212,13 @@
         what: server_book.Seen,
         detail: str = "",
     ) -> None:
-        self._inst.servers.seen(server, what, self._job.ask.request_id, detail)
+        self._inst.servers.seen(server, what, self._job.head.request_id, detail)
 
     def _log_send(self, choice: server_choice.Choice, rested_s: float) -> None:
         self._inst.metrics.sends.labels(choice.reason.value).inc()
         self._inst.log.request(
             "send",
-            self._job.ask.request_id,
+            self._job.head.request_id,
             route=self._job.route.name,
             catalog=self._job.version,
             server=choice.server.server_id,
@@ -226,8 +228,8 @@
             mean_load=round(choice.mean_load, 1),
             load_age_s=_age(choice.report_age_s),
             source=choice.source.server_id if choice.source else "",
-            subject=self._job.ask.prompt.subject,
-            shared_tokens=self._job.ask.prompt.shared_tokens,
+            subject=self._job.head.prompt.subject,
+            shared_tokens=self._job.head.prompt.shared_tokens,
             rested_s=round(rested_s, 3),
             attempt=self._sends.count + 1,
             left_s=round(self._left_s(), 3),
--- a/irisshelf/gateway/requests/front.py
+++ b/irisshelf/gateway/requests/front.py
@@ -55,14 +55,14 @@
         """Builds the answer to a request that could not be read."""
         self._inst.log.request("unreadable", "", status=status, detail=text)
         self._inst.metrics.requests.labels("unknown", "unreadable").inc()
-        return self._inst.dialect.own_headers("", None), _body(text)
+        return self._inst.dialect.local_answer_headers("", None), _body(text)
 
     def handle(
         self, request: caller_side.Request, conn: caller_side.Connection
     ) -> None:
         """Answers one request."""
-        self._inst.note_sleep()
-        inbound = messages.Inbound(
+        self._inst.log_suspend()
+        inbound = messages.InboundRequest(
             method=request.method,
             target=request.target,
             headers=request.headers,
@@ -73,7 +73,7 @@
         )
         if self._inst.stopping:
             conn.close_after_answer()
-        asked = self._inst.dialect.ask(inbound)
+        asked = self._inst.dialect.parse_request(inbound)
         if isinstance(asked, result.Err):
             self._refuse(conn, "", _BAD_REQUEST, asked.err_value)
             return
@@ -108,7 +108,7 @@
         self._inst.metrics.duration.labels(kind).observe(lasted_s)
         self._inst.log.request(
             "answered",
-            job.ask.request_id,
+            job.head.request_id,
             ended=ended,
             route=job.route.name,
             team=job.team,
@@ -119,18 +119,18 @@
 
     def _admit(
         self,
-        inbound: messages.Inbound,
-        ask: messages.Ask,
+        inbound: messages.InboundRequest,
+        ask: messages.RequestHead,
         conn: caller_side.Connection,
     ) -> messages.Job | None:
         """Checks what a request needs; answers those that may not go on."""
         inst = self._inst
-        if not inst.knows:
+        if not inst.configured:
             conn.close_after_answer()
             why = "no configuration yet"
             self._turn_away(conn, ask, why, _STARTING_RETRY_S)
             return None
-        if not inst.keys_hold():
+        if not inst.keys_valid():
             self._send_elsewhere(conn, ask, "cut off from the store")
             return None
         catalog = inst.catalog
@@ -153,8 +153,8 @@
 
     def _job(
         self,
-        inbound: messages.Inbound,
-        ask: messages.Ask,
+        inbound: messages.InboundRequest,
+        ask: messages.RequestHead,
         version: int,
         route: model.Route,
         team: model.Team | None,
@@ -167,13 +167,13 @@
             priority = team.priority
         return messages.Job(
             inbound=inbound,
-            ask=ask,
+            head=ask,
             route=route,
             service=self._service(route, ask),
             team=team.name if team else "",
             priority=priority,
             version=version,
-            until_s=inbound.arrived_s + time_s,
+            deadline_s=inbound.arrived_s + time_s,
             regions=model.common_regions(
                 route.regions, team.regions if team else frozenset()
             ),
@@ -197,7 +197,7 @@
             return passed_s > _STREAMS_WHILE_STOPPING_S
         return passed_s > self._inst.cfg.bounds.stop_s - _LAST_CALLS_S
 
-    def _service(self, route: model.Route, ask: messages.Ask) -> str:
+    def _service(self, route: model.Route, ask: messages.RequestHead) -> str:
         """Picks one of a route's services by weight.
 
         Requests with the same shared parts go to the same one.
@@ -220,7 +220,7 @@
     def _refuse_unknown(
         self,
         conn: caller_side.Connection,
-        ask: messages.Ask,
+        ask: messages.RequestHead,
         status: int,
         why: str,
     ) -> None:
@@ -230,13 +230,13 @@
         after 401 or 404, and an instance that was away for seconds lacks keys
         and routes that have been accepted meanwhile.
         """
-        if self._inst.may_be_out_of_date():
+        if self._inst.catalog_may_be_stale():
             self._send_elsewhere(conn, ask, f"may be out of date: {why}")
             return
         self._refuse(conn, ask.request_id, status, why)
 
     def _send_elsewhere(
-        self, conn: caller_side.Connection, ask: messages.Ask, why: str
+        self, conn: caller_side.Connection, ask: messages.RequestHead, why: str
     ) -> None:
         """Turns a caller away whom an instance that has the store may serve."""
         conn.close_after_answer()
@@ -245,7 +245,7 @@
     def _turn_away(
         self,
         conn: caller_side.Connection,
-        ask: messages.Ask,
+        ask: messages.RequestHead,
         why: str,
         retry_after_s: float,
     ) -> None:
@@ -294,7 +294,9 @@
             catalog_age_s=round(age_s, 3) if age_s < 1e9 else None,
             stopping=self._inst.stopping,
         )
-        headers = self._inst.dialect.own_headers(request_id, retry_after_s)
+        headers = self._inst.dialect.local_answer_headers(
+            request_id, retry_after_s
+        )
         conn.answer(status, headers, _body(why))
 
 
--- a/irisshelf/gateway/requests/placement.py
+++ b/irisshelf/gateway/requests/placement.py
@@ -188,7 +188,7 @@
         self._inst.servers.links.put_new(placed.choice.server, placed.conn)
 
     def _left_s(self) -> float:
-        return self._job.until_s - self._inst.now()
+        return self._job.deadline_s - self._inst.now()
 
     def _choose_suspect(
         self, verdict: crash_suspects.Verdict
@@ -251,7 +251,7 @@
     ) -> server_choice.Choice | None:
         return self._chooser.choose(
             servers,
-            self._job.ask.prompt,
+            self._job.head.prompt,
             avoid=frozenset(avoid),
             now=self._inst.now(),
             sources=self._inst.eligible.sources(
@@ -339,7 +339,7 @@
             # The others are known to be lost as well; the caller should hear
             # so while there is time to ask another instance.
             self._connects = _MOST_CONNECTS
-        self._inst.servers.unreachable(server, exc, self._job.ask.request_id)
+        self._inst.servers.unreachable(server, exc, self._job.head.request_id)
 
 
 def _is_short(choice: server_choice.Choice | None) -> bool:
--- a/irisshelf/gateway/requests/sends.py
+++ b/irisshelf/gateway/requests/sends.py
@@ -32,7 +32,7 @@
         self.failed: set[str] = set()
         self.count = 0
         self.worst = outcome.Outcome.NOT_RUN
-        self.final: messages.Final | None = None
+        self.final: messages.CompleteAnswer | None = None
         self._inst = inst
         self._job = job
         self._retry_taken = False
--- a/irisshelf/gateway/servers/crashes.py
+++ b/irisshelf/gateway/servers/crashes.py
@@ -148,7 +148,7 @@
             server_key=directory.key_of(server.server_id), at_s=self._now()
         )
         content = _content(job)
-        if self._take_end(content, end, job.ask.request_id, server.server_id):
+        if self._take_end(content, end, job.head.request_id, server.server_id):
             self.on_end(content, end)
         return True
 
@@ -159,7 +159,7 @@
         if not self._may_be_suspect(job):
             return
         content = _content(job)
-        if self._clear(content, job.ask.request_id):
+        if self._clear(content, job.head.request_id):
             self.on_good(content)
 
     def refused(
@@ -169,7 +169,7 @@
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
             "request_barred",
-            job.ask.request_id,
+            job.head.request_id,
             content=_content(job).hex(),
             servers=[end.server_key.hex() for end in verdict.crashes],
             barred_for_s=round(verdict.barred_for_s, 1),
--- a/irisshelf/platform/http_dialect.py
+++ b/irisshelf/platform/http_dialect.py
@@ -66,8 +66,8 @@
 class HttpDialect(dialect.Dialect):
     """Translates heads of HTTP messages."""
 
-    def ask(self, inbound: messages.Inbound) -> result.Result:
-        """See ``dialect.Dialect.ask``."""
+    def parse_request(self, inbound: messages.InboundRequest) -> result.Result:
+        """See ``dialect.Dialect.parse_request``."""
         found = {
             name.lower(): value.decode("latin-1").strip()
             for name, value in inbound.headers
@@ -77,8 +77,8 @@
         except ValueError as exc:
             return result.Err(str(exc))
 
-    def request_headers(
-        self, inbound: messages.Inbound, send: messages.Send
+    def backend_request_headers(
+        self, inbound: messages.InboundRequest, send: messages.ForwardedContext
     ) -> list[tuple[bytes, bytes]]:
         """See ``dialect.Dialect.request_headers``."""
         dropped = _HOP | _OWN | _named_in_connection(inbound.headers)
@@ -95,7 +95,7 @@
             headers.append((b"Content-Length", length))
         return headers
 
-    def answer_head(
+    def parse_answer(
         self, status: int, headers: messages.Headers
     ) -> messages.AnswerHead:
         """See ``dialect.Dialect.answer_head``."""
@@ -118,7 +118,7 @@
             report=_report(status, headers),
         )
 
-    def own_headers(
+    def local_answer_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> list[tuple[bytes, bytes]]:
         """See ``dialect.Dialect.own_headers``."""
@@ -181,11 +181,11 @@
     return float(text) if len(digits) <= _MOST_DIGITS else _LONGEST_REST_S
 
 
-def _ask(target: str, found: dict[bytes, str]) -> messages.Ask:
+def _ask(target: str, found: dict[bytes, str]) -> messages.RequestHead:
     request_id = found.get(_REQUEST_ID, "")
     if not request_id:
         raise ValueError("header 'Request-Id' is missing, allowed: an id")
-    return messages.Ask(
+    return messages.RequestHead(
         request_id=request_id,
         host=found.get(b"host", ""),
         path=target.partition("?")[0],
@@ -257,7 +257,7 @@
     return int(text)
 
 
-def _set_by_us(send: messages.Send) -> list[tuple[bytes, str]]:
+def _set_by_us(send: messages.ForwardedContext) -> list[tuple[bytes, str]]:
     headers = [(b"Expect-Instance", send.entry_id)]
     if send.team:
         headers.append((b"Tenant-Id", send.team))
--- a/irisshelf/platform/stand_in/world.py
+++ b/irisshelf/platform/stand_in/world.py
@@ -81,9 +81,9 @@
 
 def inbound(
     target: str, headers: list[tuple[bytes, bytes]]
-) -> messages.Inbound:
+) -> messages.InboundRequest:
     """Returns a request as an instance reads it."""
-    return messages.Inbound(
+    return messages.InboundRequest(
         method="POST",
         target=target,
         headers=tuple(headers),
--- a/irisshelf/routing/owned/health.py
+++ b/irisshelf/routing/owned/health.py
@@ -108,7 +108,7 @@
     """Returns how long a server stays out after its latest flap.
 
     Example:
-        >>> hold_down_s(1), hold_s(3)
+        >>> hold_down_s(1), hold_down_s(3)
         (1.0, 4.0)
     """
     return min(MAX_HOLD_DOWN_S, MIN_HOLD_DOWN_S * 2 ** max(0, flaps - 1))
--- a/irisshelf/tests/test_any_settings.py
+++ b/irisshelf/tests/test_any_settings.py
@@ -129,7 +129,7 @@
 )
 @hypothesis.settings(max_examples=400, derandomize=True, deadline=None)
 def test_any_callers_head_is_understood_or_refused(headers, target, body):
-    inbound = messages.Inbound(
+    inbound = messages.InboundRequest(
         method="POST",
         target=target,
         headers=((b"Request-Id", b"r"), *headers),
@@ -137,7 +137,7 @@
         has_body=True,
         arrived_s=0.0,
     )
-    asked = http_dialect.HttpDialect().ask(inbound)
+    asked = http_dialect.HttpDialect().parse_request(inbound)
     if isinstance(asked, result.Err):
         assert "allowed" in asked.err_value
         return
--- a/irisshelf/tests/test_availability.py
+++ b/irisshelf/tests/test_availability.py
@@ -228,12 +228,12 @@
     raw = tuple(
         (name.encode(), value.encode("latin-1")) for name, value in headers
     )
-    report = http_dialect.HttpDialect().answer_head(status, raw).report
+    report = http_dialect.HttpDialect().parse_answer(status, raw).report
     assert (report.leaving, report.rest_s) == (leaving, rest_s)
     assert report.unreadable == unreadable
 
 
 def test_callers_are_not_told_that_a_server_leaves():
     raw = ((b"Server-Leaving", b"1"), (b"Response-Signature", b"s"))
-    head = http_dialect.HttpDialect().answer_head(200, raw)
+    head = http_dialect.HttpDialect().parse_answer(200, raw)
     assert head.headers == ((b"Response-Signature", b"s"),)
--- a/irisshelf/tests/test_gateway_store.py
+++ b/irisshelf/tests/test_gateway_store.py
@@ -99,13 +99,13 @@
     bounds = settings.Bounds(key_withdrawn_ms=3500)
     world = world_module.World(bounds=bounds)
     world.store.mode = mode
-    world.wait(lambda: not world.inst.keys_hold())
+    world.wait(lambda: not world.inst.keys_valid())
     answer = world.ask("/alarm/1", Request_Id="late")
     assert (answer.status, world.runs("late")) == (503, 0)
     assert answer.headers["connection"] == "close"
     assert not world.inst.ready
     world.store.mode = Mode.WELL
-    world.wait(world.inst.keys_hold)
+    world.wait(world.inst.keys_valid)
     assert world.ask("/alarm/1").status == 200
     world.close()
 
@@ -126,7 +126,7 @@
     bounds = settings.Bounds(keys_strict=False, keys_unconfirmed_s=3.0)
     world = world_module.World(bounds=bounds)
     world.store.mode = Mode.BUSY
-    world.wait(lambda: not world.inst.keys_hold())
+    world.wait(lambda: not world.inst.keys_valid())
     assert world.ask("/alarm/1").status == 503
     assert not world.inst.ready
     world.close()
@@ -217,9 +217,9 @@
         "instance",
         lambda name, **fields: lines.append((name, fields)),
     )
-    assert [world.inst.answer_readiness() for _ in range(2)] == [True, True]
+    assert [world.inst.check_readiness() for _ in range(2)] == [True, True]
     world.inst.stopping_since_s = world.inst.now()
-    assert not world.inst.answer_readiness()
+    assert not world.inst.check_readiness()
     told = [(f["ready"], f["why"]) for n, f in lines if n == "readiness"]
     assert told == [(True, ""), (False, "stopping")]
 
--- a/irisshelf/tests/test_outside_bytes.py
+++ b/irisshelf/tests/test_outside_bytes.py
@@ -234,7 +234,7 @@
 )
 def test_a_header_that_says_nothing_does_not_end_the_answer(name, text):
     headers = ((name.encode(), text.encode("latin-1")),)
-    head = http_dialect.HttpDialect().answer_head(200, headers)
+    head = http_dialect.HttpDialect().parse_answer(200, headers)
     assert head.report.load is None
     assert head.report.keep_alive_s is None or head.report.keep_alive_s <= 86400
 
@@ -254,7 +254,7 @@
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 def test_any_answer_head_is_read(headers):
-    head = http_dialect.HttpDialect().answer_head(200, tuple(headers))
+    head = http_dialect.HttpDialect().parse_answer(200, tuple(headers))
     if head.report.keep_alive_s is not None:
         assert 0 <= head.report.keep_alive_s <= 86400
     if head.report.load is not None:
@@ -276,7 +276,7 @@
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 def test_any_request_head_is_read_or_refused(headers):
-    inbound = messages.Inbound(
+    inbound = messages.InboundRequest(
         method="POST",
         target="/x/1",
         headers=(*headers, (b"Request-Id", b"r1")),
@@ -284,7 +284,7 @@
         has_body=False,
         arrived_s=0.0,
     )
-    asked = http_dialect.HttpDialect().ask(inbound)
+    asked = http_dialect.HttpDialect().parse_request(inbound)
     if asked.is_err():
         assert "allowed" in asked.err_value
         return
--- a/irisshelf/tests/test_regions.py
+++ b/irisshelf/tests/test_regions.py
@@ -96,7 +96,9 @@
     for one in world.engines:
         if one.data_centre != "a":
             listed = world.inst.directory.get(one.server_id)
-            asked = world.inst.dialect.ask(_inbound(world, parts)).ok_value
+            asked = world.inst.dialect.parse_request(
+                _inbound(world, parts)
+            ).ok_value
             world.inst.servers.sent_prompt(listed, asked.prompt)
     assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
     (run,) = [run for one in world.engines for run in one.runs]
--- a/irisshelf/tests/test_server_lives.py
+++ b/irisshelf/tests/test_server_lives.py
@@ -46,7 +46,7 @@
     world.inst.directory.apply(
         [directory.Change(entry_id=life.entry_id, server=life)]
     )
-    world.inst.server_list_taken()
+    world.inst.server_list_loaded()
 
 
 def _book(world):
--- a/irisshelf/tests/test_store_copy.py
+++ b/irisshelf/tests/test_store_copy.py
@@ -138,13 +138,13 @@
     _put(world, 3, world_module.KEY)
     _come_back(world.store, copy, more)
     # The copy's version 2 confirms nothing, so that keys run out.
-    world.wait(lambda: not world.inst.keys_hold())
+    world.wait(lambda: not world.inst.keys_valid())
     assert world.inst.catalog.version == 3
     for key in (world_module.KEY, "lost"):
         answer = world.ask("/alarm/1", Authorization=f"Bearer {key}")
         assert answer.status == 503
     world.store.put("op", "config", _config(3, world_module.KEY))
-    world.wait(world.inst.keys_hold)
+    world.wait(world.inst.keys_valid)
     assert world.ask("/alarm/1").status == 200
     answer = world.ask("/alarm/1", Authorization="Bearer lost")
     assert answer.status == 401
@@ -163,7 +163,7 @@
     _come_back(world.store, copy, more)
     world.store.put("op", "config", _config(5, world_module.KEY, "new"))
     world.wait(lambda: world.inst.catalog.version == 5)
-    assert world.inst.keys_hold()
+    assert world.inst.keys_valid()
 
 
 @pytest.mark.parametrize("more", _PLACES)
@@ -215,7 +215,7 @@
     _wait_listed(world, newcomer.server_id, there=False)
     world.store.put("op", "config", _config(3, world_module.KEY))
     world.wait(lambda: world.inst.catalog.version == 3)
-    world.wait(world.inst.keys_hold)
+    world.wait(world.inst.keys_valid)
 
 
 def test_pages_of_two_eras_are_not_put_together():
--- a/irisshelf/tests/test_store_outage.py
+++ b/irisshelf/tests/test_store_outage.py
@@ -63,7 +63,7 @@
 def test_callers_return_late_only_where_others_are_cut_off_too(short, role):
     _take_role(short, role)
     short.store.mode = store.Mode.BUSY
-    short.wait(lambda: not short.inst.keys_hold())
+    short.wait(lambda: not short.inst.keys_valid())
     # Time enough that the watch of a reader has been silent.
     short.wait(lambda: short.inst.freshness.age_s(boottime.now()) > 1.0)
     told_s = _refused(short)
@@ -94,7 +94,7 @@
             position=position.Position(era=0, revision=99),
         )
         updates.take(update)
-        return not short.inst.keys_hold()
+        return not short.inst.keys_valid()
 
     short.wait(told_of_more)
     assert _refused(short) <= 0.2
--- a/irisshelf/tests/test_store_updates.py
+++ b/irisshelf/tests/test_store_updates.py
@@ -211,7 +211,7 @@
     _know_each_other(everyone)
     for one in everyone:
         one.follow()
-    _wait(lambda: all(one.inst.knows for one in everyone))
+    _wait(lambda: all(one.inst.configured for one in everyone))
     yield served, everyone
     for one in everyone:
         one.stop()
@@ -263,7 +263,7 @@
     served.put("servers", "s1", one_server.entry("draining"))
     _wait(lambda: all(one.version == 2 for one in others))
     _wait(lambda: not any(map(_takes_work, others)))
-    _wait(lambda: all(one.inst.keys_hold() for one in others))
+    _wait(lambda: all(one.inst.keys_valid() for one in others))
 
 
 def test_readers_that_the_store_turns_away_go_on_by_updates(fleet):
@@ -273,7 +273,7 @@
     served.mode = store.Mode.BUSY
     watcher.stop()
     others = [one for one in everyone if one is not watcher]
-    _wait(lambda: not any(one.inst.keys_hold() for one in others))
+    _wait(lambda: not any(one.inst.keys_valid() for one in others))
     now_s = boottime.now()
     for one in others:
         # The stand-in's clock is the machine's.
@@ -282,6 +282,6 @@
                 store_s=now_s, version=1, position=_at(10**6, era=0)
             )
         )
-    assert all(one.inst.keys_hold() for one in others)
+    assert all(one.inst.keys_valid() for one in others)
     for one in others:
         assert one.inst.freshness.age_s(now_s) >= 0
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -200,14 +200,14 @@
 def _start(everyone):
     for one in everyone:
         one.follow()
-    _wait(lambda: all(one.inst.knows for one in everyone))
+    _wait(lambda: all(one.inst.configured for one in everyone))
 
 
 def test_all_that_start_at_once_read_from_one(make_fleet, served):
     everyone = make_fleet()
     _start(everyone)
     assert sorted(served.pages) == ["op", "servers"]
-    assert all(one.inst.keys_hold() for one in everyone)
+    assert all(one.inst.keys_valid() for one in everyone)
     assert all(
         one.told("tables_relayed") for one in everyone[1:] if _reads(one)
     )
@@ -227,7 +227,7 @@
     # By the call that the watcher had held, which tells it.
     assert len(served.pages) == before
     assert served.calls - calls < len(everyone)
-    assert all(one.inst.keys_hold() for one in everyone)
+    assert all(one.inst.keys_valid() for one in everyone)
 
 
 def test_many_changes_at_once_are_read_once(make_fleet, served, one_server):
