--- a/irisshelf/gateway/knowledge/peer_discovery.py
+++ b/irisshelf/gateway/knowledge/peer_discovery.py
@@ -132,7 +132,9 @@
         now = boottime.now()
         own = self.membership.own.data_centre
         near = [member for member, _ in self.membership.members(own, now)]
-        for member in [*near, *self.membership.remote_members(now)][:_MOST_ASKED]:
+        for member in [*near, *self.membership.remote_members(now)][
+            :_MOST_ASKED
+        ]:
             answer = self._get(member.address, path)
             if isinstance(answer, result.Ok):
                 return answer.ok_value
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -74,7 +74,7 @@
             self._inst.directory.apply(changes)
         self._position = position
         self._changes.append(changes, position, now)
-        self._inst.server_list_taken()
+        self._inst.server_list_loaded()
         self._inst.eligible.update_from_entries(changes)
         self._log_changes(changes, position, now, whole=False)
 
@@ -111,7 +111,7 @@
             copied=copied,
         )
         self._changes.reset(position)
-        self._inst.server_list_taken()
+        self._inst.server_list_loaded()
         self._inst.eligible.update_from_entries(entries)
         self._log_changes(entries, position, now, whole=True)
 
--- a/irisshelf/gateway/requests/request_handler.py
+++ b/irisshelf/gateway/requests/request_handler.py
@@ -10,8 +10,8 @@
 from irisshelf.gateway.requests import attempt as attempt_module
 from irisshelf.gateway.requests import placement as placement_module
 from irisshelf.gateway.requests import send_history
+from irisshelf.routing import crash_suspects
 from irisshelf.routing import outcome
-from irisshelf.routing import suspects
 from irisshelf.routing.direct import server_choice
 from irisshelf.routing.direct import server_stats
 from irisshelf.transport import client
@@ -57,7 +57,7 @@
         )
         self._events_before = 0
         self._progress = attempt_module.Progress(
-            last_event_id=job.ask.last_event_id
+            last_event_id=job.head.last_event_id
         )
 
     def run(self) -> str:
@@ -66,7 +66,9 @@
         Returns:
             How it ended, a word for logs and metrics.
         """
-        self._inst.servers.budget(self._job.service).arrived(self._inst.now())
+        self._inst.servers.budget(self._job.service).record_request(
+            self._inst.now()
+        )
         try:
             return self._run()
         finally:
@@ -75,7 +77,7 @@
     def _run(self) -> str:
         while True:
             verdict = self._inst.crashes.verdict(self._job)
-            if verdict and verdict.stage is suspects.Stage.BARRED:
+            if verdict and verdict.stage is crash_suspects.Stage.BARRED:
                 return self._bar(verdict)
             placed = self._placement.next(verdict)
             if placed is None:
@@ -93,7 +95,7 @@
                 return self._give_up(stop)
 
     def _left_s(self) -> float:
-        return self._job.until_s - self._inst.now()
+        return self._job.deadline_s - self._inst.now()
 
     def _send(
         self, choice: server_choice.Choice, conn: client.Connection
@@ -102,7 +104,7 @@
         self._log_send(choice, conn.rested_s)
         self._sends.count += 1
         self._events_before = self._progress.events
-        self._inst.servers.record_sent_prompt(server, self._job.ask.prompt)
+        self._inst.servers.record_sent_prompt(server, self._job.head.prompt)
         attempt_module.Attempt(
             inst=self._inst,
             job=self._job,
@@ -156,7 +158,7 @@
         stop = self._sends.why_stop(exc, blamed=blamed, left_s=self._left_s())
         self._inst.log.request(
             "send_failed",
-            self._job.ask.request_id,
+            self._job.head.request_id,
             server=server.server_id,
             cause=exc.seen.value,
             outcome=exc.outcome.value,
@@ -167,7 +169,7 @@
         )
         return stop
 
-    def _bar(self, verdict: suspects.Verdict) -> str:
+    def _bar(self, verdict: crash_suspects.Verdict) -> str:
         """Refuses a request at once that servers ended under.
 
         This very try has not run, which is what 503 says; the caller is told
@@ -179,7 +181,7 @@
 
     def _give_up(self, why: str) -> str:
         """Gives the final answer to a request that is not served."""
-        request = self._job.ask.request_id
+        request = self._job.head.request_id
         if self._conn.began:
             self._conn.abort()
             return f"cut_{why}"
@@ -197,7 +199,9 @@
             late = self._left_s() <= 0
             status = _GATEWAY_TIMEOUT if late else _BAD_GATEWAY
             retry_after_s = None
-        headers = self._inst.dialect.own_headers(request, retry_after_s)
+        headers = self._inst.dialect.local_answer_headers(
+            request, retry_after_s
+        )
         body = f'{{"error": "{why}", "outcome": "{worst.value}"}}'
         self._conn.answer(status, headers, body.encode())
         return f"{worst.value}_{why}"
@@ -209,14 +213,14 @@
         detail: str = "",
     ) -> None:
         self._inst.servers.record_observation(
-            server, what, self._job.ask.request_id, detail
+            server, what, self._job.head.request_id, detail
         )
 
     def _log_send(self, choice: server_choice.Choice, rested_s: float) -> None:
         self._inst.metrics.sends.labels(choice.reason.value).inc()
         self._inst.log.request(
             "send",
-            self._job.ask.request_id,
+            self._job.head.request_id,
             route=self._job.route.name,
             catalog=self._job.version,
             server=choice.server.server_id,
@@ -226,8 +230,8 @@
             mean_load=round(choice.mean_load, 1),
             load_age_s=_age(choice.report_age_s),
             source=choice.source.server_id if choice.source else "",
-            subject=self._job.ask.prompt.affinity_key,
-            shared_tokens=self._job.ask.prompt.shared_tokens,
+            subject=self._job.head.prompt.affinity_key,
+            shared_tokens=self._job.head.prompt.shared_tokens,
             rested_s=round(rested_s, 3),
             attempt=self._sends.count + 1,
             left_s=round(self._left_s(), 3),
--- a/irisshelf/gateway/requests/send_history.py
+++ b/irisshelf/gateway/requests/send_history.py
@@ -32,7 +32,7 @@
         self.failed: set[str] = set()
         self.count = 0
         self.worst = outcome.Outcome.NOT_RUN
-        self.final: messages.Final | None = None
+        self.final: messages.CompleteAnswer | None = None
         self._inst = inst
         self._job = job
         self._retry_taken = False
@@ -89,7 +89,7 @@
         """
         if not self._retry_taken:
             budget = self._inst.servers.budget(self._job.service)
-            taken = budget.take(self._inst.now())
+            taken = budget.try_take(self._inst.now())
             bounded = self._inst.cfg.policy.retry_budget
             self._retry_taken = taken or not bounded
         return self._retry_taken
--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -1,6 +1,6 @@
 """What one instance does about requests that end the servers that run them.
 
-See ``routing.suspects`` for what is decided; here is what it is decided by:
+See ``crash_suspects`` for what is decided; here is what it is decided by:
 whether a server has ended, what has been answered well of late, and what
 other instances have seen.
 """
@@ -19,7 +19,7 @@
 from irisshelf.gateway.servers import reachability
 from irisshelf.gateway.servers import servers as servers_module
 from irisshelf.observe import decision_log
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.transport import client
 from irisshelf.transport import errors
 
@@ -40,8 +40,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
+<<<<<<< /tmp/mt/a
 class SuspectPlacement:
     """Where a suspect request may go; see ``suspects.Place``."""
+||||||| /tmp/mt/o
+class Place:
+    """Where a suspect request may go; see ``DesignatedServer``."""
+=======
+class Place:
+    """Where a suspect request may go; see ``DesignatedServer``."""
+>>>>>>> /tmp/mt/b
 
     server: directory.BackendServer | None
     uncertain: bool
@@ -72,9 +80,21 @@
         counts: metrics.Metrics,
         now: Callable[[], float],
     ):
+<<<<<<< /tmp/mt/a
         self.suspects = suspects.Suspects()
         self.on_crash: Callable[[bytes, suspects.End], None] = _no_peers
         self.on_clear: Callable[[bytes], None] = _no_peers
+||||||| /tmp/mt/o
+        self.suspects = crash_suspects.CrashSuspects()
+        self.on_end: Callable[[bytes, crash_suspects.ServerCrash], None] = _tell_nobody
+        self.on_good: Callable[[bytes], None] = _tell_nobody
+=======
+        self.suspects = crash_suspects.CrashSuspects()
+        self.on_end: Callable[[bytes, crash_suspects.ServerCrash], None] = (
+            _tell_nobody
+        )
+        self.on_good: Callable[[bytes], None] = _tell_nobody
+>>>>>>> /tmp/mt/b
         self._servers = servers
         self._listed = listed
         self._log = log
@@ -87,7 +107,7 @@
         self._exited_s: dict[str, float] = {}
         self._probes: dict[str, gevent.Greenlet] = {}
 
-    def verdict(self, job: messages.Job) -> suspects.Verdict | None:
+    def verdict(self, job: messages.Job) -> crash_suspects.Verdict | None:
         """Returns what is thought of a request; None if it is clear.
 
         As long as no content is suspect, which is nearly always, this is one
@@ -97,11 +117,27 @@
         if not self._may_be_suspect(job):
             return None
         found = self.suspects.judge(_content(job), self._now())
-        return None if found.stage is suspects.Stage.CLEAR else found
+        return None if found.stage is crash_suspects.Stage.CLEAR else found
 
+<<<<<<< /tmp/mt/a
     def place_suspect(
         self, job: messages.Job, verdict: suspects.Verdict, avoid: set[str]
     ) -> SuspectPlacement:
+||||||| /tmp/mt/o
+    def may_go_to(
+        self,
+        job: messages.Job,
+        verdict: crash_suspects.Verdict,
+        avoid: set[str],
+    ) -> Place:
+=======
+    def may_go_to(
+        self,
+        job: messages.Job,
+        verdict: crash_suspects.Verdict,
+        avoid: set[str],
+    ) -> Place:
+>>>>>>> /tmp/mt/b
         """Returns the one server that a suspect request may go to, if any."""
         known = {
             server.server_id: server
@@ -120,13 +156,13 @@
             if name in gone
             or (name not in avoid and not self._servers.is_unreachable(server))
         ]
-        keys = {end.server for end in verdict.ends}
-        found = suspects.place(
+        keys = {end.server_key for end in verdict.crashes}
+        found = crash_suspects.designate_server(
             _content(job),
             fit,
-            ended={name for name in fit if directory.key_of(name) in keys},
-            gone=gone,
-            ends=len(verdict.ends),
+            crashed={name for name in fit if directory.key_of(name) in keys},
+            recently_gone=gone,
+            crash_count=len(verdict.crashes),
         )
         server = None if found.server is None else known[found.server]
         return SuspectPlacement(server=server, uncertain=found.uncertain)
@@ -141,14 +177,22 @@
         """
         if not self.has_exited(server) or _asked(job) in self._recent:
             return False
-        end = suspects.End(
-            server=directory.key_of(server.server_id), at_s=self._now()
+        end = crash_suspects.ServerCrash(
+            server_key=directory.key_of(server.server_id), at_s=self._now()
         )
         content = _content(job)
+<<<<<<< /tmp/mt/a
         if self._apply_crash(
             content, end, job.ask.request_id, server.server_id
         ):
             self.on_crash(content, end)
+||||||| /tmp/mt/o
+        if self._take_end(content, end, job.head.request_id, server.server_id):
+            self.on_end(content, end)
+=======
+        if self._take_end(content, end, job.head.request_id, server.server_id):
+            self.on_end(content, end)
+>>>>>>> /tmp/mt/b
         return True
 
     def record_success(self, job: messages.Job) -> None:
@@ -158,32 +202,66 @@
         if not self._may_be_suspect(job):
             return
         content = _content(job)
-        if self._clear(content, job.ask.request_id):
+<<<<<<< /tmp/mt/a
+        if self._clear(content, job.head.request_id):
             self.on_clear(content)
+||||||| /tmp/mt/o
+        if self._clear(content, job.ask.request_id):
+            self.on_good(content)
+=======
+        if self._clear(content, job.head.request_id):
+            self.on_good(content)
+>>>>>>> /tmp/mt/b
 
+<<<<<<< /tmp/mt/a
     def record_refusal(
-        self, job: messages.Job, verdict: suspects.Verdict
+        self, job: messages.Job, verdict: crash_suspects.Verdict
+    ) -> None:
+||||||| /tmp/mt/o
+    def refused(self, job: messages.Job, verdict: suspects.Verdict) -> None:
+=======
+    def refused(
+        self, job: messages.Job, verdict: crash_suspects.Verdict
     ) -> None:
+>>>>>>> /tmp/mt/b
         """Takes that a request is refused for what servers ended under."""
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
             "request_barred",
-            job.ask.request_id,
+            job.head.request_id,
             content=_content(job).hex(),
-            servers=[end.server.hex() for end in verdict.ends],
+            servers=[end.server_key.hex() for end in verdict.crashes],
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
+<<<<<<< /tmp/mt/a
     def receive_crash(self, content: bytes, end: suspects.End) -> None:
+||||||| /tmp/mt/o
+    def heard_end(
+        self, content: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
+=======
+    def heard_end(
+        self, content: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
+>>>>>>> /tmp/mt/b
         """Takes an end that another instance has seen, if it is confirmed here.
 
         A datagram may say anything. It counts only if this instance finds the
         server ended as well: its entry has gone, or nobody listens there.
         """
-        server = self._servers.by_key(end.server)
+        server = self._servers.by_key(end.server_key)
         if server is None:
+<<<<<<< /tmp/mt/a
             if self._servers.recently_delisted(end.server):
                 self._apply_reported_crash(content, end, "")
+||||||| /tmp/mt/o
+            if self._servers.left_lately(end.server_key):
+                self._take_heard(content, end, "")
+=======
+            if self._servers.left_lately(end.server_key):
+                self._take_heard(content, end, "")
+>>>>>>> /tmp/mt/b
             return
         if self.has_exited(server):
             self._apply_reported_crash(content, end, server.server_id)
@@ -192,7 +270,15 @@
         """Takes that another instance has a good answer to a content."""
         self._clear(content, "")
 
+<<<<<<< /tmp/mt/a
     def merge_crash(self, content: bytes, end: suspects.End) -> None:
+||||||| /tmp/mt/o
+    def caught_up(self, content: bytes, end: suspects.End) -> None:
+=======
+    def caught_up(
+        self, content: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
+>>>>>>> /tmp/mt/b
         """Takes what a neighbour has answered to this instance's question."""
         self._apply_crash(content, end, "", "")
 
@@ -223,10 +309,10 @@
         if not self.suspects:
             return False
         inbound = job.inbound
-        shape = suspects.shape_of(
+        shape = crash_suspects.fingerprint_prefix(
             job.team, inbound.method, inbound.target, len(inbound.body)
         )
-        return self.suspects.has_shape(shape)
+        return self.suspects.has_prefix(shape)
 
     def _probe(self, server: directory.BackendServer) -> bool:
         try:
@@ -256,19 +342,48 @@
         self._servers.connection_pool.add_idle(server, conn)
         return False
 
+<<<<<<< /tmp/mt/a
     def _apply_reported_crash(
         self, content: bytes, end: suspects.End, name: str
     ) -> None:
         known = any(suspects.content_of(*a) == content for a in self._recent)
+||||||| /tmp/mt/o
+    def _take_heard(self, content: bytes, end: suspects.End, name: str) -> None:
+        known = any(suspects.content_of(*a) == content for a in self._recent)
+=======
+    def _take_heard(
+        self, content: bytes, end: crash_suspects.ServerCrash, name: str
+    ) -> None:
+        known = any(
+            crash_suspects.request_fingerprint(*a) == content
+            for a in self._recent
+        )
+>>>>>>> /tmp/mt/b
         if known:
             self.on_clear(content)
             return
         self._apply_crash(content, end, "", name)
 
+<<<<<<< /tmp/mt/a
     def _apply_crash(
         self, content: bytes, end: suspects.End, request: str, name: str
+||||||| /tmp/mt/o
+    def _take_end(
+        self,
+        content: bytes,
+        end: crash_suspects.ServerCrash,
+        request: str,
+        name: str
+=======
+    def _take_end(
+        self,
+        content: bytes,
+        end: crash_suspects.ServerCrash,
+        request: str,
+        name: str,
+>>>>>>> /tmp/mt/b
     ) -> bool:
-        if not self.suspects.ended(content, end, self._now()):
+        if not self.suspects.record_crash(content, end, self._now()):
             return False
         verdict = self.suspects.judge(content, self._now())
         self._metrics.crashes.labels(verdict.stage.value).inc()
@@ -277,14 +392,14 @@
             content=content.hex(),
             request=request,
             server=name,
-            key=end.server.hex(),
-            ends=len(verdict.ends),
+            key=end.server_key.hex(),
+            ends=len(verdict.crashes),
             stage=verdict.stage.value,
         )
         return True
 
     def _clear(self, content: bytes, request: str) -> bool:
-        if not self.suspects.served(content):
+        if not self.suspects.record_success(content):
             return False
         self._metrics.crashes.labels("cleared").inc()
         self._log.instance(
@@ -299,7 +414,7 @@
 
 
 def _content(job: messages.Job) -> bytes:
-    return suspects.content_of(*_asked(job))
+    return crash_suspects.request_fingerprint(*_asked(job))
 
 
 def _no_peers(*facts: object) -> None:
