--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -40,16 +40,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-<<<<<<< /tmp/mt/a
 class SuspectPlacement:
-    """Where a suspect request may go; see ``suspects.Place``."""
-||||||| /tmp/mt/o
-class Place:
     """Where a suspect request may go; see ``DesignatedServer``."""
-=======
-class Place:
-    """Where a suspect request may go; see ``DesignatedServer``."""
->>>>>>> /tmp/mt/b
 
     server: directory.BackendServer | None
     uncertain: bool
@@ -80,21 +72,11 @@
         counts: metrics.Metrics,
         now: Callable[[], float],
     ):
-<<<<<<< /tmp/mt/a
-        self.suspects = suspects.Suspects()
-        self.on_crash: Callable[[bytes, suspects.End], None] = _no_peers
-        self.on_clear: Callable[[bytes], None] = _no_peers
-||||||| /tmp/mt/o
-        self.suspects = crash_suspects.CrashSuspects()
-        self.on_end: Callable[[bytes, crash_suspects.ServerCrash], None] = _tell_nobody
-        self.on_good: Callable[[bytes], None] = _tell_nobody
-=======
         self.suspects = crash_suspects.CrashSuspects()
-        self.on_end: Callable[[bytes, crash_suspects.ServerCrash], None] = (
-            _tell_nobody
+        self.on_crash: Callable[[bytes, crash_suspects.ServerCrash], None] = (
+            _no_peers
         )
-        self.on_good: Callable[[bytes], None] = _tell_nobody
->>>>>>> /tmp/mt/b
+        self.on_clear: Callable[[bytes], None] = _no_peers
         self._servers = servers
         self._listed = listed
         self._log = log
@@ -119,25 +101,12 @@
         found = self.suspects.judge(_content(job), self._now())
         return None if found.stage is crash_suspects.Stage.CLEAR else found
 
-<<<<<<< /tmp/mt/a
     def place_suspect(
-        self, job: messages.Job, verdict: suspects.Verdict, avoid: set[str]
-    ) -> SuspectPlacement:
-||||||| /tmp/mt/o
-    def may_go_to(
         self,
         job: messages.Job,
         verdict: crash_suspects.Verdict,
         avoid: set[str],
-    ) -> Place:
-=======
-    def may_go_to(
-        self,
-        job: messages.Job,
-        verdict: crash_suspects.Verdict,
-        avoid: set[str],
-    ) -> Place:
->>>>>>> /tmp/mt/b
+    ) -> SuspectPlacement:
         """Returns the one server that a suspect request may go to, if any."""
         known = {
             server.server_id: server
@@ -181,18 +150,10 @@
             server_key=directory.key_of(server.server_id), at_s=self._now()
         )
         content = _content(job)
-<<<<<<< /tmp/mt/a
         if self._apply_crash(
-            content, end, job.ask.request_id, server.server_id
+            content, end, job.head.request_id, server.server_id
         ):
             self.on_crash(content, end)
-||||||| /tmp/mt/o
-        if self._take_end(content, end, job.head.request_id, server.server_id):
-            self.on_end(content, end)
-=======
-        if self._take_end(content, end, job.head.request_id, server.server_id):
-            self.on_end(content, end)
->>>>>>> /tmp/mt/b
         return True
 
     def record_success(self, job: messages.Job) -> None:
@@ -202,28 +163,12 @@
         if not self._may_be_suspect(job):
             return
         content = _content(job)
-<<<<<<< /tmp/mt/a
         if self._clear(content, job.head.request_id):
             self.on_clear(content)
-||||||| /tmp/mt/o
-        if self._clear(content, job.ask.request_id):
-            self.on_good(content)
-=======
-        if self._clear(content, job.head.request_id):
-            self.on_good(content)
->>>>>>> /tmp/mt/b
 
-<<<<<<< /tmp/mt/a
     def record_refusal(
         self, job: messages.Job, verdict: crash_suspects.Verdict
     ) -> None:
-||||||| /tmp/mt/o
-    def refused(self, job: messages.Job, verdict: suspects.Verdict) -> None:
-=======
-    def refused(
-        self, job: messages.Job, verdict: crash_suspects.Verdict
-    ) -> None:
->>>>>>> /tmp/mt/b
         """Takes that a request is refused for what servers ended under."""
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
@@ -234,17 +179,9 @@
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
-<<<<<<< /tmp/mt/a
-    def receive_crash(self, content: bytes, end: suspects.End) -> None:
-||||||| /tmp/mt/o
-    def heard_end(
-        self, content: bytes, end: crash_suspects.ServerCrash
-    ) -> None:
-=======
-    def heard_end(
+    def receive_crash(
         self, content: bytes, end: crash_suspects.ServerCrash
     ) -> None:
->>>>>>> /tmp/mt/b
         """Takes an end that another instance has seen, if it is confirmed here.
 
         A datagram may say anything. It counts only if this instance finds the
@@ -252,16 +189,8 @@
         """
         server = self._servers.by_key(end.server_key)
         if server is None:
-<<<<<<< /tmp/mt/a
-            if self._servers.recently_delisted(end.server):
+            if self._servers.recently_delisted(end.server_key):
                 self._apply_reported_crash(content, end, "")
-||||||| /tmp/mt/o
-            if self._servers.left_lately(end.server_key):
-                self._take_heard(content, end, "")
-=======
-            if self._servers.left_lately(end.server_key):
-                self._take_heard(content, end, "")
->>>>>>> /tmp/mt/b
             return
         if self.has_exited(server):
             self._apply_reported_crash(content, end, server.server_id)
@@ -270,15 +199,9 @@
         """Takes that another instance has a good answer to a content."""
         self._clear(content, "")
 
-<<<<<<< /tmp/mt/a
-    def merge_crash(self, content: bytes, end: suspects.End) -> None:
-||||||| /tmp/mt/o
-    def caught_up(self, content: bytes, end: suspects.End) -> None:
-=======
-    def caught_up(
+    def merge_crash(
         self, content: bytes, end: crash_suspects.ServerCrash
     ) -> None:
->>>>>>> /tmp/mt/b
         """Takes what a neighbour has answered to this instance's question."""
         self._apply_crash(content, end, "", "")
 
@@ -342,46 +265,24 @@
         self._servers.connection_pool.add_idle(server, conn)
         return False
 
-<<<<<<< /tmp/mt/a
     def _apply_reported_crash(
-        self, content: bytes, end: suspects.End, name: str
-    ) -> None:
-        known = any(suspects.content_of(*a) == content for a in self._recent)
-||||||| /tmp/mt/o
-    def _take_heard(self, content: bytes, end: suspects.End, name: str) -> None:
-        known = any(suspects.content_of(*a) == content for a in self._recent)
-=======
-    def _take_heard(
         self, content: bytes, end: crash_suspects.ServerCrash, name: str
     ) -> None:
         known = any(
             crash_suspects.request_fingerprint(*a) == content
             for a in self._recent
         )
->>>>>>> /tmp/mt/b
         if known:
             self.on_clear(content)
             return
         self._apply_crash(content, end, "", name)
 
-<<<<<<< /tmp/mt/a
     def _apply_crash(
-        self, content: bytes, end: suspects.End, request: str, name: str
-||||||| /tmp/mt/o
-    def _take_end(
-        self,
-        content: bytes,
-        end: crash_suspects.ServerCrash,
-        request: str,
-        name: str
-=======
-    def _take_end(
         self,
         content: bytes,
         end: crash_suspects.ServerCrash,
         request: str,
         name: str,
->>>>>>> /tmp/mt/b
     ) -> bool:
         if not self.suspects.record_crash(content, end, self._now()):
             return False
