--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -17,7 +17,7 @@
 from irisshelf.gateway import settings
 from irisshelf.observe import decision_log
 from irisshelf.platform import http_dialect
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 
 _BODIES = (1_000, 64_000, 1_000_000)
 _RUNS = 9
@@ -37,13 +37,13 @@
         figures[f"suspects_none_{size}_b_us"] = _best_us(
             lambda i=inst, j=job: _serve(i, j)
         )
-        end = suspects.End(server=b"other", at_s=inst.now())
-        inst.crashes.suspects.ended(b"another content.", end, inst.now())
+        end = crash_suspects.ServerCrash(server_key=b"other", at_s=inst.now())
+        inst.crashes.suspects.record_crash(b"another content.", end, inst.now())
         figures[f"suspects_others_{size}_b_us"] = _best_us(
             lambda i=inst, j=job: _serve(i, j)
         )
         figures[f"suspects_alike_{size}_b_us"] = _best_us(
-            lambda j=job: suspects.content_of(
+            lambda j=job: crash_suspects.request_fingerprint(
                 j.team, j.inbound.method, j.inbound.target, j.inbound.body
             ),
             times=_TIMES * 1000 // size,
@@ -52,9 +52,9 @@
 
 
 def _serve(inst: instance.Instance, job: messages.Job) -> None:
-    inst.note_sleep()
+    inst.log_suspend()
     inst.crashes.verdict(job)
-    inst.crashes.served(job)
+    inst.crashes.record_success(job)
 
 
 def _instance() -> instance.Instance:
@@ -73,7 +73,7 @@
 
 
 def _job(body: bytes) -> messages.Job:
-    inbound = messages.Inbound(
+    inbound = messages.InboundRequest(
         method="POST",
         target="/lezi911/2f",
         headers=(),
@@ -83,7 +83,7 @@
     )
     return messages.Job(
         inbound=inbound,
-        ask=messages.Ask(request_id="r", host="h", path="/lezi911/2f"),
+        head=messages.RequestHead(request_id="r", host="h", path="/lezi911/2f"),
         route=model.Route(
             name="r",
             host="h",
@@ -97,7 +97,7 @@
         team="blue",
         priority=1,
         version=1,
-        until_s=1.0,
+        deadline_s=1.0,
     )
 
 
--- a/irisshelf/daemon/gate.py
+++ b/irisshelf/daemon/gate.py
@@ -34,7 +34,7 @@
     ) -> outcome.Refusal | None:
         """Waits for admission; returns the refusal if it is not granted."""
         now = self._nd.now()
-        router.budget.arrived(now)
+        router.budget.record_request(now)
         ticket = admission.Ticket(
             request_id=request_id,
             team=team.name,
@@ -42,7 +42,7 @@
             deadline_s=now + router.cfg.timeouts.queue_s,
         )
         step = self._admitter.enter(router, ticket, now)
-        if isinstance(step, admission.Start):
+        if isinstance(step, admission.Admitted):
             return None
         return outcome.Refusal(
             outcome=outcome.Outcome.NOT_RUN,
--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -11,8 +11,8 @@
 import gevent
 import result
 
-from irisshelf.coordination import data_centre
-from irisshelf.coordination import roster
+from irisshelf.coordination import local_membership
+from irisshelf.coordination import membership
 from irisshelf.gateway import dialect
 from irisshelf.gateway import instance
 from irisshelf.gateway import listener
@@ -23,7 +23,7 @@
 from irisshelf.gateway.knowledge import follower
 from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.gateway.knowledge import store_updates
-from irisshelf.gateway.requests import front
+from irisshelf.gateway.requests import frontend
 from irisshelf.observe import decision_log
 from irisshelf.store import feed
 from irisshelf.transport import server as caller_side
@@ -79,7 +79,7 @@
             rng=random.Random(),
         )
         self._peers = peer_discovery.PeerDiscovery(
-            own=roster.Member(
+            own=membership.Member(
                 name=cfg.instance,
                 address=cfg.listen.peers,
                 data_centre=cfg.data_centre,
@@ -89,8 +89,8 @@
             log=self._log,
             on_peer_count=self._take_members,
         )
-        self._members = data_centre.Members(
-            roster=self._peers.membership,
+        self._members = local_membership.LocalMembership(
+            membership=self._peers.membership,
             alone=not cfg.seeds,
             began_s=self._inst.now(),
         )
@@ -117,7 +117,7 @@
             ),
             peers=self._peers,
         )
-        self._front = front.Front(inst=self._inst)
+        self._front = frontend.Frontend(inst=self._inst)
         self._listeners = [
             self._listener(
                 cfg.listen.front, self._front.limits, self._front.handle
@@ -165,10 +165,10 @@
         gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
             membership=self._peers.membership,
-            on_fact=self._inst.servers.heard_fact,
+            on_fact=self._inst.servers.apply_fact,
             rng=self._inst.rng,
         )
-        self._inst.servers.tell = gossip.publish
+        self._inst.servers.publish = gossip.publish
         gevent.spawn(gossip.run)
 
     def _take_members(self, others_here: int) -> None:
@@ -181,8 +181,8 @@
         if others_here:
             places = max(1, len(self._inst.cfg.data_centres))
             count = (others_here + 1) * places
-        self._inst.servers.fleet.heard(count, self._inst.now())
-        # What is known now counts for a minute, see ``data_centre.Members``.
+        self._inst.servers.fleet.record(count, self._inst.now())
+        # What is known now counts for a minute, see ``local_membership``.
         self._names_here()
 
     def _names_here(self) -> tuple[str, ...]:
@@ -235,13 +235,13 @@
         cfg = loaded.ok_value
         fixed = ("instance", "data_centre", "listen", "store", "seeds")
         later = [n for n in fixed if getattr(cfg, n) != _get(self._inst.cfg, n)]
-        self._inst.take_settings(cfg)
+        self._inst.apply_settings(cfg)
         self._log.instance("reload", why=why, from_next_start=later)
 
     def _ready(
         self, request: caller_side.Request, conn: caller_side.Connection
     ) -> None:
-        ready = self._inst.answer_readiness()
+        ready = self._inst.check_readiness()
         conn.answer(_OK if ready else _UNAVAILABLE, [], b"")
 
     def _metrics(
--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -22,11 +22,11 @@
 import msgspec
 
 from irisshelf import boottime
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
-from irisshelf.gateway.servers import crashes as crashes_module
+from irisshelf.gateway.servers import crash_tracker
 from irisshelf.observe import decision_log
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 
 _KIND = datagrams_module.Kind.CRASHES
 # Path at which an instance serves ``CrashGossip.snapshot``.
@@ -67,17 +67,17 @@
     def __init__(
         self,
         *,
-        crashes: crashes_module.Crashes,
+        crashes: crash_tracker.CrashTracker,
         datagrams: datagrams_module.Datagrams,
-        membership: roster_module.Roster,
+        membership: membership_module.Membership,
         log: decision_log.DecisionLog,
     ):
         self._log = log
         self._crashes = crashes
         self._datagrams = datagrams
         self._membership = membership
-        crashes.on_end = self._publish_crash
-        crashes.on_good = self._publish_good_answer
+        crashes.on_crash = self._publish_crash
+        crashes.on_clear = self._publish_good_answer
         datagrams.subscribe(_KIND, self.receive)
 
     def receive(self, content: Any) -> None:
@@ -118,8 +118,8 @@
         """
         now = boottime.now()
         rows = [
-            (fingerprint, crash.server, int((now - crash.at_s) * 1000))
-            for fingerprint, crashes in self._crashes.suspects.all(now).items()
+            (fingerprint, crash.server_key, int((now - crash.at_s) * 1000))
+            for fingerprint, crashes in self._crashes.suspects.snapshot(now).items()
             for crash in crashes
         ]
         return cbor2.dumps(rows)
@@ -134,19 +134,23 @@
             self._log.problem("crashes_unreadable", detail=str(exc))
             return
         for fingerprint, server, age_ms in rows:
-            crash = suspects.End(server=server, at_s=now - age_ms / 1000)
-            self._crashes.caught_up(fingerprint, crash)
+            crash = crash_suspects.ServerCrash(
+                server_key=server, at_s=now - age_ms / 1000
+            )
+            self._crashes.merge_crash(fingerprint, crash)
 
     def _apply(self, message: _Message) -> None:
         if message.server is None:
-            self._crashes.heard_good(message.fingerprint)
+            self._crashes.receive_clear(message.fingerprint)
             return
         at_s = boottime.now() - message.age_ms / 1000
-        crash = suspects.End(server=message.server, at_s=at_s)
-        self._crashes.heard_end(message.fingerprint, crash)
+        crash = crash_suspects.ServerCrash(server_key=message.server, at_s=at_s)
+        self._crashes.receive_crash(message.fingerprint, crash)
 
-    def _publish_crash(self, fingerprint: bytes, crash: suspects.End) -> None:
-        self._publish(fingerprint, crash.server, crash.at_s)
+    def _publish_crash(
+        self, fingerprint: bytes, crash: crash_suspects.ServerCrash
+    ) -> None:
+        self._publish(fingerprint, crash.server_key, crash.at_s)
 
     def _publish_good_answer(self, fingerprint: bytes) -> None:
         self._publish(fingerprint, None, boottime.now())
@@ -168,7 +172,7 @@
         message.forward = True
         data = _encode(message)
         sent: dict[str, int] = {}
-        for member in self._membership.elsewhere(boottime.now()):
+        for member in self._membership.remote_members(boottime.now()):
             count = sent.get(member.data_centre, 0)
             if count < _REMOTE_FAN_OUT:
                 sent[member.data_centre] = count + 1
--- a/irisshelf/gateway/knowledge/fact_gossip.py
+++ b/irisshelf/gateway/knowledge/fact_gossip.py
@@ -25,7 +25,7 @@
 
 from irisshelf import boottime
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 
 # Responses take about a second; batched facts are a fraction of that old.
@@ -83,7 +83,7 @@
 
     def __init__(self):
         self.loads: dict[bytes, facts.ServerLoad] = {}
-        self.cached_parts: collections.deque[facts.PartHeld] = (
+        self.cached_parts: collections.deque[facts.PartCached] = (
             collections.deque(maxlen=_MAX_QUEUED_PARTS)
         )
         self.cold_starts: dict[bytes, facts.ServerCold] = {}
@@ -106,7 +106,7 @@
             self.loads[fact.server] = fact
 
     @add.register
-    def _(self, fact: facts.PartHeld) -> None:
+    def _(self, fact: facts.PartCached) -> None:
         self.cached_parts.append(fact)
 
     @add.register
@@ -173,7 +173,7 @@
         self,
         *,
         datagrams: datagrams_module.Datagrams,
-        membership: roster_module.Roster,
+        membership: membership_module.Membership,
         on_fact: Callable[[facts.Fact], None],
         rng: random.Random,
     ):
@@ -199,7 +199,7 @@
     def flush(self) -> None:
         """Sends one datagram of queued facts per receiver, if there are any."""
         now = boottime.now()
-        first = self._membership.first(now)
+        first = self._membership.leader(now)
         if first is not None:
             self._send_facts(self._local, _Hop.TO_LEADER, [first])
             # Remote facts that were queued while this instance was the leader.
@@ -226,7 +226,7 @@
             self._on_fact(fact)
         if message.hop is _Hop.TO_ALL:
             return
-        first = self._membership.first(boottime.now())
+        first = self._membership.leader(boottime.now())
         if first is None:
             outbox = self._local if is_local else self._remote
             for fact in received:
@@ -239,9 +239,9 @@
         self,
         outbox: _Outbox,
         hop: _Hop,
-        members: list[roster_module.Member],
+        members: list[membership_module.Member],
         *,
-        remote: Sequence[roster_module.Member] = (),
+        remote: Sequence[membership_module.Member] = (),
     ) -> None:
         if not outbox:
             return
@@ -254,10 +254,10 @@
         for member in remote:
             self._datagrams.send(member.address, data)
 
-    def _one_per_remote_data_centre(self) -> list[roster_module.Member]:
+    def _one_per_remote_data_centre(self) -> list[membership_module.Member]:
         """Picks one instance of each other data centre at random."""
-        by_data_centre: dict[str, list[roster_module.Member]] = {}
-        for member in self._membership.elsewhere(boottime.now()):
+        by_data_centre: dict[str, list[membership_module.Member]] = {}
+        for member in self._membership.remote_members(boottime.now()):
             by_data_centre.setdefault(member.data_centre, []).append(member)
         return [self._rng.choice(group) for group in by_data_centre.values()]
 
@@ -285,7 +285,7 @@
             decoded.add(facts.ServerLoad(server=server, work=work, at_s=at_s))
     for server, parts in message.cached_parts.items():
         for part in parts:
-            decoded.add(facts.PartHeld(server=server, part=part))
+            decoded.add(facts.PartCached(server=server, part=part))
     for server, remaining_ms in message.cold_starts:
         until_s = now + remaining_ms / 1000
         decoded.add(facts.ServerCold(server=server, until_s=until_s))
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -129,10 +129,10 @@
         sent_s = boottime.now()
         watch = self.tables.watches[table]
         after = watch.position
-        if table is feed.Table.CATALOG and watch.reads_newest_alone(sent_s):
+        if table is feed.Table.CATALOG and watch.should_read_snapshot(sent_s):
             after = None
         wait_s = self._long_poll_s(table, sent_s)
-        watch.asked()
+        watch.record_request()
         if after is None:
             response = self._store.whole(table)
         else:
@@ -148,9 +148,9 @@
             self._inst.log.problem(
                 "store_history_lost", table=table.value, after=str(after)
             )
-            watch.forgotten()
+            watch.record_history_lost()
             return True
-        watch.failed()
+        watch.record_failure()
         self._handle_failure(table, response.err_value)
         return False
 
@@ -196,10 +196,10 @@
         timeout_s = store_timing.relay_timeout_s(
             self._inst.cfg.bounds, starting=starting
         )
-        watch.asked()
+        watch.record_request()
         snapshot = self._relay.fetch(table, minimum, timeout_s=timeout_s)
         if snapshot is None:
-            watch.failed()
+            watch.record_failure()
             return False
         is_newer = self.tables.apply_snapshot(table, snapshot, boottime.now())
         self._notify_relay()
@@ -208,7 +208,7 @@
     def _role(self) -> shared_watch.Role:
         can_share = self._updates is not None
         if not (can_share and self._inst.cfg.policy.shared_watch):
-            return shared_watch.Role.ALONE
+            return shared_watch.Role.STANDALONE
         return self._updates.role()
 
     def _wait_until_due(self, table: feed.Table) -> None:
@@ -217,7 +217,7 @@
         updated = self._updated[table]
         while True:
             timing = store_timing.watch_timing(self._inst.cfg.bounds)
-            until_s = watch.rests_until_s(self._role(), timing)
+            until_s = watch.updates_suffice_until_s(self._role(), timing)
             remaining_s = until_s - boottime.now()
             if remaining_s <= 0:
                 return
@@ -244,10 +244,10 @@
             # After an outage the current state is needed at once.
             return 0.0
         bounds = self._inst.cfg.bounds
-        return self.tables.watches[table].hold_s(
+        return self.tables.watches[table].long_poll_s(
             self._role(),
             store_timing.watch_timing(bounds),
-            alone_s=store_timing.long_poll_s(table, bounds),
+            standalone_s=store_timing.long_poll_s(table, bounds),
             now=now,
         )
 
@@ -255,7 +255,7 @@
         """Drops lapsed entries and closes idle connections, periodically."""
         while True:
             gevent.sleep(_EXPIRE_INTERVAL_S)
-            self._inst.servers.links.expire()
+            self._inst.servers.connection_pool.close_expired()
             if not self._up.is_set():
                 continue
             now = boottime.now()
@@ -341,7 +341,7 @@
         """Whether this instance is a reader and its watcher is silent."""
         timing = store_timing.watch_timing(self._inst.cfg.bounds)
         is_reader = self._role() is shared_watch.Role.READER
-        return is_reader and self.tables.watches[table].is_silent(
+        return is_reader and self.tables.watches[table].updates_overdue(
             timing, boottime.now()
         )
 
--- a/irisshelf/gateway/knowledge/operator_state.py
+++ b/irisshelf/gateway/knowledge/operator_state.py
@@ -81,7 +81,7 @@
                 rows.append(item.value)
             elif isinstance(item.value, model.Catalog):
                 self.stored_version = item.value.version
-                replaced |= self._inst.adopt(item.value)
+                replaced |= self._inst.apply_catalog(item.value)
                 self._keep_stored(item)
         self._apply_evacuations(batch, rows, now)
         return replaced and catalog is not None
--- a/irisshelf/gateway/knowledge/peer_discovery.py
+++ b/irisshelf/gateway/knowledge/peer_discovery.py
@@ -19,7 +19,7 @@
 import result
 
 from irisshelf import boottime
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.observe import decision_log
 from irisshelf.transport import client
 from irisshelf.transport import errors
@@ -64,12 +64,12 @@
     def __init__(
         self,
         *,
-        own: roster.Member,
+        own: membership.Member,
         seeds: tuple[str, ...],
         log: decision_log.DecisionLog,
         on_peer_count: Callable[[int], None] = lambda count: None,
     ):
-        self.membership = roster.Roster(own=own)
+        self.membership = membership.Membership(own=own)
         self._seeds = tuple(seed for seed in seeds if seed != own.address)
         self._log = log
         self._on_peer_count = on_peer_count
@@ -93,7 +93,7 @@
             ):
                 seeds_queried_s = now
                 self._query_seeds()
-            first = self.membership.first(now)
+            first = self.membership.leader(now)
             if first is not None:
                 self._query_members(first.address)
             count = self._local_peer_count()
@@ -142,7 +142,8 @@
         now = boottime.now()
         own = self.membership.own.data_centre
         local = [member for member, _ in self.membership.members(own, now)]
-        for member in [*local, *self.membership.elsewhere(now)][:_MAX_ATTEMPTS]:
+        for member in [*local, *self.membership.remote_members(now)][
+            :_MAX_ATTEMPTS]:
             response = self._get(member.address, path)
             if isinstance(response, result.Ok):
                 return response.ok_value
@@ -162,11 +163,11 @@
         fields = dict(urllib.parse.parse_qsl(query))
         sender = _sender_of(fields)
         if path == "/goodbye":
-            self.membership.left(sender.name)
+            self.membership.remove(sender.name)
             conn.answer(_OK, [], b"")
         elif path == "/members":
             if sender.name and sender.address:
-                self.membership.heard(sender, boottime.now())
+                self.membership.record_alive(sender, boottime.now())
             conn.answer(_OK, [], self._encode_members(sender.data_centre))
         elif path in self._handlers:
             body = self._handlers[path](fields)
@@ -212,13 +213,13 @@
             return
         now = boottime.now()
         for name, member_address, data_centre, link_mbps, age_s in rows:
-            member = roster.Member(
+            member = membership.Member(
                 name=name,
                 address=member_address,
                 data_centre=data_centre,
                 link_mbps=link_mbps,
             )
-            self.membership.heard(member, now - max(0.0, age_s))
+            self.membership.record_alive(member, now - max(0.0, age_s))
 
     def _get(
         self, address: str, target: str, timeout_s: float = _RESPONSE_TIMEOUT_S
@@ -248,7 +249,7 @@
         return client.connect(address, timeout_s=_CONNECT_TIMEOUT_S)
 
 
-def _sender_of(fields: Mapping[str, str]) -> roster.Member:
+def _sender_of(fields: Mapping[str, str]) -> membership.Member:
     """Returns the sender's membership entry; missing fields are empty."""
     try:
         link_mbps = msgspec.convert(
@@ -256,7 +257,7 @@
         )
     except msgspec.ValidationError:
         link_mbps = 0.0
-    return roster.Member(
+    return membership.Member(
         name=fields.get("name", ""),
         address=fields.get("address", ""),
         data_centre=fields.get("data_centre", ""),
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -55,7 +55,7 @@
             self._log_unreadable(unreadable)
             self._inst.directory.apply(map(_change, unreadable))
         changes = tuple(map(_change, batch.items))
-        self._inst.servers.tell_cold(changes)
+        self._inst.servers.publish_cold(changes)
         if batch.whole:
             restored = self._restored(batch, now)
             self._replace(changes, batch.position, now, restored)
@@ -74,16 +74,16 @@
         else:
             self._inst.directory.apply(changes)
         self._position = position
-        self._changes.add(changes, position, now)
-        self._inst.server_list_taken()
-        self._inst.eligible.entries_told(changes)
+        self._changes.append(changes, position, now)
+        self._inst.server_list_loaded()
+        self._inst.eligible.update_from_entries(changes)
         self._log_changes(changes, position, now, whole=False)
 
     def make_update(
         self, store_s: float, now: float
     ) -> shared_watch.ServersUpdate:
         """Returns the update for readers; see ``ChangeLog.update``."""
-        return self._changes.update(store_s, now)
+        return self._changes.build_update(store_s, now)
 
     def expire(self, now: float) -> None:
         """Drops servers whose lapsed entries have not been written again.
@@ -95,7 +95,7 @@
         dropped = self._inst.directory.expire(now)
         if dropped:
             self._inst.log.instance("lapsed_servers_gone", servers=dropped)
-            self._inst.servers.list_changed()
+            self._inst.servers.on_list_changed()
 
     def _replace(
         self,
@@ -111,9 +111,9 @@
             after_outage=self._after_outage(now),
             copied=restored,
         )
-        self._changes.restart(position)
-        self._inst.server_list_taken()
-        self._inst.eligible.entries_told(entries)
+        self._changes.reset(position)
+        self._inst.server_list_loaded()
+        self._inst.eligible.update_from_entries(entries)
         self._log_changes(entries, position, now, whole=True)
 
     def _restored(self, batch: feed.Batch, now: float) -> frozenset[str]:
--- a/irisshelf/gateway/knowledge/store_timing.py
+++ b/irisshelf/gateway/knowledge/store_timing.py
@@ -68,7 +68,7 @@
 def coalesce_s(
     table: feed.Table,
     bounds: settings.Bounds,
-    role: shared_watch.Role = shared_watch.Role.ALONE,
+    role: shared_watch.Role = shared_watch.Role.STANDALONE,
 ) -> float:
     """Returns how long changes are coalesced after a poll, in seconds."""
     if role is shared_watch.Role.WATCHER:
@@ -103,6 +103,6 @@
         bounds.evacuated_ms or math.inf,
     )
     if bounds.keys_strict:
-        keys_ms = instance_module.KEY_SHARE * bounds.key_withdrawn_ms
+        keys_ms = instance_module.KEY_AGE_SHARE * bounds.key_withdrawn_ms
         tightest_ms = min(tightest_ms, keys_ms)
     return shared_watch.timing(tightest_ms / 1000)
--- a/irisshelf/gateway/knowledge/store_updates.py
+++ b/irisshelf/gateway/knowledge/store_updates.py
@@ -18,7 +18,7 @@
 
 from irisshelf import boottime
 from irisshelf.catalog import position as position_module
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
 from irisshelf.gateway.knowledge import server_records
@@ -69,13 +69,13 @@
         self,
         *,
         datagrams: datagrams_module.Datagrams,
-        membership: roster_module.Roster,
+        membership: membership_module.Membership,
         log: decision_log.DecisionLog,
     ):
         self._datagrams = datagrams
         self._membership = membership
         self._log = log
-        self._role = shared_watch.Role.ALONE
+        self._role = shared_watch.Role.STANDALONE
         self._on_update: Callable[[shared_watch.Update], None] | None = None
         datagrams.subscribe(_KIND, self.receive)
 
@@ -89,7 +89,7 @@
         role = shared_watch.role(self._membership, now)
         if role is not self._role:
             self._role = role
-            first = self._membership.first(now)
+            first = self._membership.leader(now)
             self._log.instance(
                 "store_watch",
                 role=role.value,
@@ -103,7 +103,7 @@
         own = self._membership.own.data_centre
         return bool(
             self._membership.members(own, now)
-            or self._membership.elsewhere(now)
+            or self._membership.remote_members(now)
         )
 
     def broadcast(self, update: shared_watch.Update) -> None:
--- a/irisshelf/gateway/knowledge/tables.py
+++ b/irisshelf/gateway/knowledge/tables.py
@@ -75,7 +75,7 @@
         Returns:
             Whether the response is the latest known state.
         """
-        newest = self.watches[table].answered(
+        newest = self.watches[table].record_response(
             batch.position, now, whole=batch.whole
         )
         if not newest:
@@ -108,7 +108,9 @@
             sent_s=snapshot.sent_s, clock_s=snapshot.clock_s, era=era
         )
         as_of_s = freshness.time_of(batch.store_s, now, era)
-        if not self.watches[table].relayed(batch.position, as_of_s):
+        if not self.watches[table].record_relayed_table(
+            batch.position, as_of_s
+        ):
             return False
         if table is _SERVERS:
             self.servers.apply_batch(batch, now)
@@ -116,7 +118,7 @@
             self.operators.apply_batch(batch, now)
             if not self.operators.store_is_behind:
                 freshness.confirmed(as_of_s)
-                self.watches[_CATALOG].caught_up(as_of_s)
+                self.watches[_CATALOG].record_caught_up(as_of_s)
         self._record_version(table, batch.position, batch.store_s)
         return True
 
@@ -138,10 +140,10 @@
         self, update: shared_watch.CatalogUpdate, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
         watch = self.watches[_CATALOG]
-        verdict = shared_watch.judge_catalog(
+        verdict = shared_watch.classify_catalog_update(
             update, watch.position, self.operators.stored_version
         )
-        watch.updated(as_of_s, update.position, verdict)
+        watch.record_update(as_of_s, update.position, verdict)
         if verdict is not _Verdict.STALE:
             self.operators.apply_update(update, now)
         if verdict is _Verdict.FETCH:
@@ -153,7 +155,7 @@
         if verdict is _Verdict.CURRENT:
             if not self.operators.store_is_behind:
                 self._inst.freshness.confirmed(as_of_s)
-            watch.follows_to(update.position)
+            watch.advance_to(update.position)
             self._record_version(_CATALOG, update.position, update.store_s)
         return verdict
 
@@ -162,15 +164,15 @@
         self, update: shared_watch.ServersUpdate, as_of_s: float, now: float
     ) -> shared_watch.Verdict:
         watch = self.watches[_SERVERS]
-        verdict = shared_watch.judge_servers(update, watch.position)
-        watch.updated(as_of_s, update.position, verdict)
+        verdict = shared_watch.classify_servers_update(update, watch.position)
+        watch.record_update(as_of_s, update.position, verdict)
         if verdict is _Verdict.FETCH:
             self._missing[_SERVERS] = table_snapshot.MinimumVersion(
                 position=update.position
             )
         if verdict is _Verdict.APPLY:
             self.servers.apply_changes(update.changes, update.position, now)
-            watch.follows_to(update.position)
+            watch.advance_to(update.position)
         if verdict in (_Verdict.APPLY, _Verdict.CURRENT):
             self._record_version(_SERVERS, update.position, update.store_s)
         return verdict
@@ -187,7 +189,7 @@
         """Drops lapsed entries that have not been written again."""
         self.servers.expire(now)
         if self.servers.take_reread_due(now):
-            self.watches[_SERVERS].forgotten()
+            self.watches[_SERVERS].record_history_lost()
         self.operators.expire(now)
 
     def _confirm(
@@ -213,7 +215,7 @@
         as_of_s = (
             freshness.time_of(batch.store_s, now, era) if replaced else now
         )
-        self.watches[_CATALOG].caught_up(as_of_s)
+        self.watches[_CATALOG].record_caught_up(as_of_s)
 
     def _record_version(
         self,
--- a/irisshelf/platform/stand_in/world.py
+++ b/irisshelf/platform/stand_in/world.py
@@ -81,9 +81,9 @@
 
 def inbound(
     target: str, headers: list[tuple[bytes, bytes]]
-) -> messages.Inbound:
+) -> messages.InboundRequest:
     """Returns a request as an instance reads it."""
-    return messages.Inbound(
+    return messages.InboundRequest(
         method="POST",
         target=target,
         headers=tuple(headers),
@@ -119,7 +119,7 @@
         servers: int = 2,
         bounds: settings.Bounds | None = None,
         configured: bool = True,
-        switched: policy.Policy = policy.ALL_ON,
+        switched: policy.Policy = policy.DEFAULT,
         data_centres: Sequence[str] = ("a",),
         places: Sequence[str] = ("a",),
         known_places: Sequence[str] = (),
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -9,12 +9,12 @@
 from irisshelf.platform.stand_in import entry as entry_module
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.routing.direct import policy
 
 Fault = server_module.Fault
 _BODY = b"the one"
-_FINGERPRINT = suspects.content_of("blue", "POST", "/alarm/1", _BODY)
+_FINGERPRINT = crash_suspects.request_fingerprint("blue", "POST", "/alarm/1", _BODY)
 
 
 @pytest.fixture
@@ -56,7 +56,7 @@
     world = make_world(servers=8, data_centres=("a", "b", "b", "b", "b", "b"))
     first, *others = world.entries
     for other in others[1:]:
-        first.roster.left(other.member.name)
+        first.roster.remove(other.member.name)
     _crash_under(world, 1)
     world.wait(lambda: _stages(world) == ["suspect"] * 6)
 
@@ -130,16 +130,16 @@
     )
     server = fleet.inst.directory.of("crew")[0]
     fleet.plain[0].close()
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
 
 
 def test_a_server_may_crash_right_after_it_was_reached(fleet):
     """A reset by a live server, then its crash: it has to be probed again."""
     (one,) = fleet.plain[:1]
     server = fleet.inst.directory.get(one.server_id)
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
     one.close()
-    assert fleet.inst.crashes.has_ended(server)
+    assert fleet.inst.crashes.has_exited(server)
 
 
 def test_a_stream_in_progress_is_not_blamed(fleet):
@@ -161,26 +161,28 @@
     for one in fleet.plain[:crashed]:
         one.close()
     for one in fleet.plain[:5]:
-        crash = suspects.End(
-            server=directory.key_of(one.server_id),
+        crash = crash_suspects.ServerCrash(
+            server_key=directory.key_of(one.server_id),
             at_s=boottime.now(),
         )
-        fleet.inst.crashes.heard_end(_FINGERPRINT, crash)
-    unknown = suspects.End(server=b"stray", at_s=boottime.now())
-    fleet.inst.crashes.heard_end(_FINGERPRINT, unknown)
+        fleet.inst.crashes.receive_crash(_FINGERPRINT, crash)
+    unknown = crash_suspects.ServerCrash(
+        server_key=b"stray", at_s=boottime.now()
+    )
+    fleet.inst.crashes.receive_crash(_FINGERPRINT, unknown)
     now = boottime.now()
     verdict = fleet.inst.crashes.suspects.judge(_FINGERPRINT, now)
-    assert len(verdict.ends) == crashed
+    assert len(verdict.crashes) == crashed
 
 
 def test_a_crash_of_a_server_that_has_left_the_list_counts(fleet):
     gone = fleet.plain[0]
     fleet.store.drop("servers", gone.server_id)
     fleet.wait(lambda: len(fleet.inst.directory.of("crew")) == 7)
-    crash = suspects.End(
-        server=directory.key_of(gone.server_id), at_s=boottime.now()
+    crash = crash_suspects.ServerCrash(
+        server_key=directory.key_of(gone.server_id), at_s=boottime.now()
     )
-    fleet.inst.crashes.heard_end(_FINGERPRINT, crash)
+    fleet.inst.crashes.receive_crash(_FINGERPRINT, crash)
     assert _stages(fleet)[0] == "suspect"
 
 
@@ -191,7 +193,7 @@
         data_centre="a",
         store=fleet.store.address,
         bounds=settings.Bounds(),
-        switched=policy.ALL_ON,
+        switched=policy.DEFAULT,
     )
     fleet.wait(lambda: _stages(fleet) == ["barred"] * 4)
     answers = [None, fleet.entries[1].crash_gossip.snapshot()]
--- a/irisshelf/tests/test_peer_discovery.py
+++ b/irisshelf/tests/test_peer_discovery.py
@@ -6,7 +6,7 @@
 import pytest
 
 from irisshelf import boottime
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import listener
 from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.observe import decision_log
@@ -17,15 +17,15 @@
 
 
 def _member(name, data_centre="a"):
-    return roster.Member(
+    return membership.Member(
         name=name, address=f"10.0.0.1:{name}", data_centre=data_centre
     )
 
 
 def _membership(own, others, now=0.0):
-    membership = roster.Roster(own=_member(own))
+    membership = membership.Membership(own=_member(own))
     for name in others:
-        membership.heard(_member(name), now)
+        membership.record_alive(_member(name), now)
     return membership
 
 
@@ -35,7 +35,7 @@
 
 def test_all_instances_agree_on_the_leader():
     found = {
-        name: _membership(name, _others(name)).first(1.0) for name in _NAMES
+        name: _membership(name, _others(name)).leader(1.0) for name in _NAMES
     }
     (first,) = {name for name, leader in found.items() if leader is None}
     assert {leader.name for leader in found.values() if leader} == {first}
@@ -43,40 +43,40 @@
 
 @pytest.mark.parametrize("data_centre", ["a", "b"])
 def test_the_only_instance_of_a_data_centre_is_its_leader(data_centre):
-    membership = roster.Roster(own=_member("1"))
+    membership = membership.Membership(own=_member("1"))
     if data_centre == "b":
         for name in _NAMES[2:]:
-            membership.heard(_member(name, "b"), 0.0)
-    assert membership.first(1.0) is None
+            membership.record_alive(_member(name, "b"), 0.0)
+    assert membership.leader(1.0) is None
 
 
 @pytest.mark.parametrize("how", ["left", "silent"])
 def test_a_lost_leader_is_replaced(how):
-    name = next(n for n in _NAMES if _membership(n, _others(n)).first(1.0))
+    name = next(n for n in _NAMES if _membership(n, _others(n)).leader(1.0))
     membership = _membership(name, _others(name))
-    first = membership.first(1.0)
+    first = membership.leader(1.0)
     now = 1.0
     if how == "left":
-        membership.left(first.name)
+        membership.remove(first.name)
     else:
-        now = roster.FORGET_S + 0.5
+        now = membership.EXPIRY_S + 0.5
         for other in _NAMES:
             if other not in (name, first.name):
-                membership.heard(_member(other), now)
-    assert membership.first(now) != first
+                membership.record_alive(_member(other), now)
+    assert membership.leader(now) != first
 
 
 def test_older_reports_of_an_instance_do_not_extend_its_membership():
     membership = _membership("1", ["2"], now=0.0)
-    membership.heard(_member("2"), -5.0)
+    membership.record_alive(_member("2"), -5.0)
     assert [m.name for m, _ in membership.members("a", 5.0)] == ["2"]
-    assert membership.members("a", roster.FORGET_S + 0.1) == []
+    assert membership.members("a", membership.EXPIRY_S + 0.1) == []
 
 
 def test_a_sample_has_all_local_instances_and_a_few_remote_ones():
     membership = _membership("1", ["2", "3"])
     for name in _NAMES[4:]:
-        membership.heard(_member(name, "b"), 0.0)
+        membership.record_alive(_member(name, "b"), 0.0)
     centres = [m.data_centre for m, _ in membership.sample("a", 1.0, 2)]
     assert sorted(centres) == ["a", "a", "a", "b", "b"]
 
@@ -98,7 +98,9 @@
         self._listener.start()
         self.address = f"127.0.0.1:{self._listener.port}"
         self.peers = peer_discovery.PeerDiscovery(
-            own=roster.Member(name=name, address=self.address, data_centre="a"),
+            own=membership.Member(
+                name=name, address=self.address, data_centre="a"
+            ),
             seeds=seeds,
             log=log,
             on_peer_count=self.counts.append,
@@ -155,8 +157,8 @@
     assert requester.peers.request_any("/what") is None
     greenlet = gevent.spawn(requester.peers.run)
     _wait(lambda: first.names() == ["2"])
-    gone = roster.Member(name="0", address="127.0.0.1:9", data_centre="a")
-    requester.peers.membership.heard(gone, boottime.now())
+    gone = membership.Member(name="0", address="127.0.0.1:9", data_centre="a")
+    requester.peers.membership.record_alive(gone, boottime.now())
     assert requester.peers.request_any("/what") is None
     first.peers.register_handler("/what", lambda fields: b"this")
     assert requester.peers.request_any("/what") == b"this"
--- a/irisshelf/tests/test_store_outage.py
+++ b/irisshelf/tests/test_store_outage.py
@@ -63,7 +63,7 @@
 def test_retry_after_is_long_only_if_others_are_cut_off_too(short, role):
     _set_role(short, role)
     short.store.mode = store.Mode.BUSY
-    short.wait(lambda: not short.inst.keys_hold())
+    short.wait(lambda: not short.inst.keys_valid())
     # Long enough for a reader to consider its watcher silent.
     short.wait(lambda: short.inst.freshness.age_s(boottime.now()) > 1.0)
     retry_after_s = _retry_after_s(short)
@@ -94,7 +94,7 @@
             position=position.Position(era=0, revision=99),
         )
         updates.deliver(update)
-        return not short.inst.keys_hold()
+        return not short.inst.keys_valid()
 
     short.wait(announce_newer_version)
     assert _retry_after_s(short) <= 0.2
--- a/irisshelf/tests/test_store_restore.py
+++ b/irisshelf/tests/test_store_restore.py
@@ -140,13 +140,13 @@
     _put(world, 3, world_module.KEY)
     _restore(world.store, backup, extra)
     # The backup's version 2 confirms nothing, so that keys expire.
-    world.wait(lambda: not world.inst.keys_hold())
+    world.wait(lambda: not world.inst.keys_valid())
     assert world.inst.catalog.version == 3
     for key in (world_module.KEY, "lost"):
         answer = world.ask("/alarm/1", Authorization=f"Bearer {key}")
         assert answer.status == 503
     world.store.put("op", "config", _config(3, world_module.KEY))
-    world.wait(world.inst.keys_hold)
+    world.wait(world.inst.keys_valid)
     assert world.ask("/alarm/1").status == 200
     answer = world.ask("/alarm/1", Authorization="Bearer lost")
     assert answer.status == 401
@@ -165,7 +165,7 @@
     _restore(world.store, backup, extra)
     world.store.put("op", "config", _config(5, world_module.KEY, "new"))
     world.wait(lambda: world.inst.catalog.version == 5)
-    assert world.inst.keys_hold()
+    assert world.inst.keys_valid()
 
 
 @pytest.mark.parametrize("extra", _REVISIONS)
@@ -219,7 +219,7 @@
     _wait_listed(world, new_server.server_id, there=False)
     world.store.put("op", "config", _config(3, world_module.KEY))
     world.wait(lambda: world.inst.catalog.version == 3)
-    world.wait(world.inst.keys_hold)
+    world.wait(world.inst.keys_valid)
 
 
 def test_pages_of_two_eras_are_not_combined():
--- a/irisshelf/tests/test_store_updates.py
+++ b/irisshelf/tests/test_store_updates.py
@@ -10,7 +10,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import directory
 from irisshelf.catalog import position
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway import instance
 from irisshelf.gateway import settings
@@ -38,10 +38,10 @@
         log = decision_log.DecisionLog(instance=name, fd=self._fd)
         log.problem = lambda name, **fields: self.problems.append(name)
         self.datagrams = datagrams_module.Datagrams(address=_ANY, log=log)
-        self.member = roster_module.Member(
+        self.member = membership_module.Member(
             name=name, address=self.datagrams.address, data_centre="a"
         )
-        self.membership = roster_module.Roster(own=self.member)
+        self.membership = membership_module.Membership(own=self.member)
         self.updates = store_updates.StoreUpdates(
             datagrams=self.datagrams, membership=self.membership, log=log
         )
@@ -84,7 +84,7 @@
         for other in instances:
             # In the future, so that members do not expire during the test.
             later_s = boottime.now() + 60.0
-            one.membership.heard(other.member, later_s)
+            one.membership.record_alive(other.member, later_s)
 
 
 def _wait(condition):
@@ -163,7 +163,7 @@
     )
     pair[0].updates.broadcast(update)
     _wait(lambda: received)
-    verdict = shared_watch.judge_servers(received[0], _at(85))
+    verdict = shared_watch.classify_servers_update(received[0], _at(85))
     assert verdict is shared_watch.Verdict.FETCH
 
 
@@ -211,7 +211,7 @@
     _introduce(instances)
     for one in instances:
         one.follow()
-    _wait(lambda: all(one.inst.knows for one in instances))
+    _wait(lambda: all(one.inst.configured for one in instances))
     yield the_store, instances
     for one in instances:
         one.stop()
@@ -263,7 +263,7 @@
     the_store.put("servers", "s1", one_server.entry("draining"))
     _wait(lambda: all(one.version == 2 for one in others))
     _wait(lambda: not any(map(_is_ready, others)))
-    _wait(lambda: all(one.inst.keys_hold() for one in others))
+    _wait(lambda: all(one.inst.keys_valid() for one in others))
 
 
 def test_updates_suffice_for_readers_that_the_store_rejects(fleet):
@@ -273,7 +273,7 @@
     the_store.mode = store.Mode.BUSY
     watcher.stop()
     others = [one for one in instances if one is not watcher]
-    _wait(lambda: not any(one.inst.keys_hold() for one in others))
+    _wait(lambda: not any(one.inst.keys_valid() for one in others))
     now_s = boottime.now()
     for one in others:
         # The simulated store uses the machine's clock.
@@ -282,6 +282,6 @@
                 store_s=now_s, version=1, position=_at(10**6, era=0)
             )
         )
-    assert all(one.inst.keys_hold() for one in others)
+    assert all(one.inst.keys_valid() for one in others)
     for one in others:
         assert one.inst.freshness.age_s(now_s) >= 0
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -19,7 +19,7 @@
 from irisshelf.catalog import directory
 from irisshelf.catalog import freshness
 from irisshelf.catalog import position
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import membership as membership_module
 from irisshelf.coordination import shared_watch
 from irisshelf.gateway import instance
 from irisshelf.gateway import listener
@@ -57,7 +57,7 @@
         self.datagrams = datagrams_module.Datagrams(
             address="127.0.0.1:0", log=self.log
         )
-        self.member = roster_module.Member(
+        self.member = membership_module.Member(
             name=name,
             address=self.datagrams.address,
             data_centre="a",
@@ -140,7 +140,7 @@
         for other in instances:
             # In the future, so that members do not expire during the test.
             later_s = boottime.now() + 60.0
-            one.peers.membership.heard(other.member, later_s)
+            one.peers.membership.record_alive(other.member, later_s)
 
 
 def _wait(condition):
@@ -203,14 +203,14 @@
 def _start(instances):
     for one in instances:
         one.follow()
-    _wait(lambda: all(one.inst.knows for one in instances))
+    _wait(lambda: all(one.inst.configured for one in instances))
 
 
 def test_instances_that_start_at_once_read_the_store_once(make_fleet, served):
     instances = make_fleet()
     _start(instances)
     assert sorted(served.pages) == ["op", "servers"]
-    assert all(one.inst.keys_hold() for one in instances)
+    assert all(one.inst.keys_valid() for one in instances)
     assert all(
         one.logged("tables_relayed") for one in instances[1:] if _is_reader(one)
     )
@@ -230,7 +230,7 @@
     # The watcher's pending long poll returned it; nothing else was read.
     assert len(served.pages) == before
     assert served.calls - calls < len(instances)
-    assert all(one.inst.keys_hold() for one in instances)
+    assert all(one.inst.keys_valid() for one in instances)
 
 
 def test_many_changes_at_once_are_read_once(make_fleet, served, one_server):
@@ -390,7 +390,7 @@
 def _ranked(count, links=()):
     widths = dict(enumerate(links))
     members = [
-        roster_module.Member(
+        membership_module.Member(
             name=f"n{n}",
             address="",
             data_centre="a",
@@ -400,9 +400,9 @@
     ]
     created = {}
     for own in members:
-        created[own.name] = roster_module.Roster(own=own)
+        created[own.name] = membership_module.Membership(own=own)
         for other in members:
-            created[own.name].heard(other, 0.0)
+            created[own.name].record_alive(other, 0.0)
     return created
 
 
@@ -422,7 +422,7 @@
 
 def test_instances_with_wide_links_relay_first():
     memberships = _ranked(24, links=[10.0, 100.0, 10.0, 120.0])
-    first = {r.first(1.0).name for r in memberships.values() if r.first(1.0)}
+    first = {r.leader(1.0).name for r in memberships.values() if r.leader(1.0)}
     assert first <= {"n1", "n3"}
     assert len(first) == 1
     wide = {"n1", "n3"}
--- a/irisshelf/tests/test_outside_bytes.py
+++ b/irisshelf/tests/test_untrusted_input.py
@@ -22,7 +22,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import position
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import messages
 from irisshelf.gateway.knowledge import crash_gossip
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
@@ -190,7 +190,7 @@
     for server in world.inst.directory.servers():
         if server.service != "not-ours":
             lost = errors.ConnectError("gone", silent=False)
-            world.inst.servers.unreachable(server, lost, "r1")
+            world.inst.servers.record_unreachable(server, lost, "r1")
     assert world.inst.isolated
     assert not world.inst.ready
 
@@ -234,7 +234,7 @@
 )
 def test_a_header_that_says_nothing_does_not_end_the_answer(name, text):
     headers = ((name.encode(), text.encode("latin-1")),)
-    head = http_dialect.HttpDialect().answer_head(200, headers)
+    head = http_dialect.HttpDialect().parse_answer(200, headers)
     assert head.report.load is None
     assert head.report.keep_alive_s is None or head.report.keep_alive_s <= 86400
 
@@ -254,7 +254,7 @@
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 def test_any_answer_head_is_read(headers):
-    head = http_dialect.HttpDialect().answer_head(200, tuple(headers))
+    head = http_dialect.HttpDialect().parse_answer(200, tuple(headers))
     if head.report.keep_alive_s is not None:
         assert 0 <= head.report.keep_alive_s <= 86400
     if head.report.load is not None:
@@ -276,7 +276,7 @@
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 def test_any_request_head_is_read_or_refused(headers):
-    inbound = messages.Inbound(
+    inbound = messages.InboundRequest(
         method="POST",
         target="/x/1",
         headers=(*headers, (b"Request-Id", b"r1")),
@@ -284,7 +284,7 @@
         has_body=False,
         arrived_s=0.0,
     )
-    asked = http_dialect.HttpDialect().ask(inbound)
+    asked = http_dialect.HttpDialect().parse_request(inbound)
     if asked.is_err():
         assert "allowed" in asked.err_value
         return
@@ -393,8 +393,8 @@
         self.loads = []
         self.ends = []
         self._takers = {}
-        own = roster.Member(name="1", address="", data_centre="a")
-        members = roster.Roster(own=own)
+        own = membership.Member(name="1", address="", data_centre="a")
+        members = membership.Membership(own=own)
         fact_gossip.FactGossip(
             datagrams=self,
             membership=members,
@@ -425,10 +425,10 @@
     def send(self, address, data):
         """Takes what is passed on."""
 
-    def heard_end(self, content, end):
+    def receive_crash(self, content, end):
         self.ends.append(end)
 
-    def heard_good(self, content):
+    def receive_clear(self, content):
         self.ends.append(content)
 
 
