--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -32,7 +32,7 @@
 # Path at which an instance serves ``CrashGossip.snapshot``.
 SNAPSHOT_PATH = "/crashes"
 _RESEND_DELAY_S = 0.4
-# Number of instances that are told in each other data centre.
+# Number of receivers in each other data centre.
 _REMOTE_FAN_OUT = 3
 # Messages about older events are dropped as delayed.
 _MAX_AGE_MS = 10_000
@@ -40,7 +40,7 @@
 _CATCH_UP_ATTEMPTS = 20
 
 _Fingerprint = Annotated[bytes, msgspec.Meta(min_length=16, max_length=16)]
-_Server = Annotated[bytes, msgspec.Meta(min_length=1, max_length=16)]
+_ServerKey = Annotated[bytes, msgspec.Meta(min_length=1, max_length=16)]
 _AgeMs = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
@@ -48,7 +48,7 @@
     # Request fingerprint.
     fingerprint: _Fingerprint
     # The server that crashed; None if the request was answered without a crash.
-    server: _Server | None
+    server_key: _ServerKey | None
     age_ms: _AgeMs
     # Whether the receiver forwards the message within its data centre.
     forward: bool
@@ -77,7 +77,7 @@
         self._datagrams = datagrams
         self._membership = membership
         crashes.on_crash = self._publish_crash
-        crashes.on_clear = self._publish_good_answer
+        crashes.on_clear = self._publish_clear
         datagrams.subscribe(_KIND, self.receive)
 
     def receive(self, content: Any) -> None:
@@ -119,7 +119,9 @@
         now = boottime.now()
         rows = [
             (fingerprint, crash.server_key, int((now - crash.at_s) * 1000))
-            for fingerprint, crashes in self._crashes.suspects.snapshot(now).items()
+            for fingerprint, crashes in self._crashes.suspects.snapshot(
+                now
+            ).items()
             for crash in crashes
         ]
         return cbor2.dumps(rows)
@@ -128,23 +130,25 @@
         now = boottime.now()
         try:
             rows = msgspec.convert(
-                cbor2.loads(data), list[tuple[_Fingerprint, _Server, _AgeMs]]
+                cbor2.loads(data), list[tuple[_Fingerprint, _ServerKey, _AgeMs]]
             )
         except (ValueError, TypeError, cbor2.CBORDecodeError) as exc:
             self._log.problem("crashes_unreadable", detail=str(exc))
             return
-        for fingerprint, server, age_ms in rows:
+        for fingerprint, server_key, age_ms in rows:
             crash = crash_suspects.ServerCrash(
-                server_key=server, at_s=now - age_ms / 1000
+                server_key=server_key, at_s=now - age_ms / 1000
             )
             self._crashes.merge_crash(fingerprint, crash)
 
     def _apply(self, message: _Message) -> None:
-        if message.server is None:
+        if message.server_key is None:
             self._crashes.receive_clear(message.fingerprint)
             return
         at_s = boottime.now() - message.age_ms / 1000
-        crash = crash_suspects.ServerCrash(server_key=message.server, at_s=at_s)
+        crash = crash_suspects.ServerCrash(
+            server_key=message.server_key, at_s=at_s
+        )
         self._crashes.receive_crash(message.fingerprint, crash)
 
     def _publish_crash(
@@ -152,22 +156,22 @@
     ) -> None:
         self._publish(fingerprint, crash.server_key, crash.at_s)
 
-    def _publish_good_answer(self, fingerprint: bytes) -> None:
+    def _publish_clear(self, fingerprint: bytes) -> None:
         self._publish(fingerprint, None, boottime.now())
 
     def _publish(
-        self, fingerprint: bytes, server: bytes | None, at_s: float
+        self, fingerprint: bytes, server_key: bytes | None, at_s: float
     ) -> None:
-        self._send(fingerprint, server, at_s)
+        self._send(fingerprint, server_key, at_s)
         gevent.spawn_later(
-            _RESEND_DELAY_S, self._send, fingerprint, server, at_s
+            _RESEND_DELAY_S, self._send, fingerprint, server_key, at_s
         )
 
     def _send(
-        self, fingerprint: bytes, server: bytes | None, at_s: float
+        self, fingerprint: bytes, server_key: bytes | None, at_s: float
     ) -> None:
         age_ms = int((boottime.now() - at_s) * 1000)
-        message = _Message(fingerprint, server, age_ms, forward=False)
+        message = _Message(fingerprint, server_key, age_ms, forward=False)
         self._send_locally(_encode(message))
         message.forward = True
         data = _encode(message)
--- a/irisshelf/gateway/knowledge/fact_gossip.py
+++ b/irisshelf/gateway/knowledge/fact_gossip.py
@@ -199,11 +199,11 @@
     def flush(self) -> None:
         """Sends one datagram of queued facts per receiver, if there are any."""
         now = boottime.now()
-        first = self._membership.leader(now)
-        if first is not None:
-            self._send_facts(self._local, _Hop.TO_LEADER, [first])
+        leader = self._membership.leader(now)
+        if leader is not None:
+            self._send_facts(self._local, _Hop.TO_LEADER, [leader])
             # Remote facts that were queued while this instance was the leader.
-            self._send_facts(self._remote, _Hop.FORWARDED, [first])
+            self._send_facts(self._remote, _Hop.FORWARDED, [leader])
             return
         members = self._membership.members(
             self._membership.own.data_centre, now
@@ -226,14 +226,14 @@
             self._on_fact(fact)
         if message.hop is _Hop.TO_ALL:
             return
-        first = self._membership.leader(boottime.now())
-        if first is None:
+        leader = self._membership.leader(boottime.now())
+        if leader is None:
             outbox = self._local if is_local else self._remote
             for fact in received:
                 outbox.add(fact)
         elif message.hop is _Hop.TO_LEADER:
             message.hop = _Hop.FORWARDED
-            self._datagrams.send(first.address, _encode(message))
+            self._datagrams.send(leader.address, _encode(message))
 
     def _send_facts(
         self,
--- a/irisshelf/gateway/knowledge/peer_discovery.py
+++ b/irisshelf/gateway/knowledge/peer_discovery.py
@@ -19,7 +19,7 @@
 import result
 
 from irisshelf import boottime
-from irisshelf.coordination import membership
+from irisshelf.coordination import membership as membership_module
 from irisshelf.observe import decision_log
 from irisshelf.transport import client
 from irisshelf.transport import errors
@@ -64,12 +64,12 @@
     def __init__(
         self,
         *,
-        own: membership.Member,
+        own: membership_module.Member,
         seeds: tuple[str, ...],
         log: decision_log.DecisionLog,
         on_peer_count: Callable[[int], None] = lambda count: None,
     ):
-        self.membership = membership.Membership(own=own)
+        self.membership = membership_module.Membership(own=own)
         self._seeds = tuple(seed for seed in seeds if seed != own.address)
         self._log = log
         self._on_peer_count = on_peer_count
@@ -93,9 +93,9 @@
             ):
                 seeds_queried_s = now
                 self._query_seeds()
-            first = self.membership.leader(now)
-            if first is not None:
-                self._query_members(first.address)
+            leader = self.membership.leader(now)
+            if leader is not None:
+                self._query_members(leader.address)
             count = self._local_peer_count()
             self._on_peer_count(count)
             delay_s = _MEMBERS_INTERVAL_S
@@ -143,7 +143,8 @@
         own = self.membership.own.data_centre
         local = [member for member, _ in self.membership.members(own, now)]
         for member in [*local, *self.membership.remote_members(now)][
-            :_MAX_ATTEMPTS]:
+            :_MAX_ATTEMPTS
+        ]:
             response = self._get(member.address, path)
             if isinstance(response, result.Ok):
                 return response.ok_value
@@ -213,7 +214,7 @@
             return
         now = boottime.now()
         for name, member_address, data_centre, link_mbps, age_s in rows:
-            member = membership.Member(
+            member = membership_module.Member(
                 name=name,
                 address=member_address,
                 data_centre=data_centre,
@@ -249,7 +250,7 @@
         return client.connect(address, timeout_s=_CONNECT_TIMEOUT_S)
 
 
-def _sender_of(fields: Mapping[str, str]) -> membership.Member:
+def _sender_of(fields: Mapping[str, str]) -> membership_module.Member:
     """Returns the sender's membership entry; missing fields are empty."""
     try:
         link_mbps = msgspec.convert(
@@ -257,7 +258,7 @@
         )
     except msgspec.ValidationError:
         link_mbps = 0.0
-    return membership.Member(
+    return membership_module.Member(
         name=fields.get("name", ""),
         address=fields.get("address", ""),
         data_centre=fields.get("data_centre", ""),
--- a/irisshelf/gateway/knowledge/store_updates.py
+++ b/irisshelf/gateway/knowledge/store_updates.py
@@ -89,11 +89,11 @@
         role = shared_watch.role(self._membership, now)
         if role is not self._role:
             self._role = role
-            first = self._membership.leader(now)
+            leader = self._membership.leader(now)
             self._log.instance(
                 "store_watch",
                 role=role.value,
-                first=first.name if first else self._membership.own.name,
+                first=leader.name if leader else self._membership.own.name,
             )
         return role
 
--- a/irisshelf/gateway/knowledge/table_relay.py
+++ b/irisshelf/gateway/knowledge/table_relay.py
@@ -206,7 +206,9 @@
     def _with_remaining_cold_time(
         self, server: directory.BackendServer, now: float
     ) -> directory.Change:
-        remaining_s = self._inst.eligible.cold.remaining_s(server.server_id, now)
+        remaining_s = self._inst.eligible.cold.remaining_s(
+            server.server_id, now
+        )
         changed = dataclasses.replace(server, cold_s=remaining_s)
         return directory.Change(entry_id=server.entry_id, server=changed)
 
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -14,7 +14,9 @@
 
 Fault = server_module.Fault
 _BODY = b"the one"
-_FINGERPRINT = crash_suspects.request_fingerprint("blue", "POST", "/alarm/1", _BODY)
+_FINGERPRINT = crash_suspects.request_fingerprint(
+    "blue", "POST", "/alarm/1", _BODY
+)
 
 
 @pytest.fixture
--- a/irisshelf/tests/test_fact_gossip.py
+++ b/irisshelf/tests/test_fact_gossip.py
@@ -10,7 +10,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import directory
 from irisshelf.coordination import facts
-from irisshelf.coordination import membership
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway.knowledge import datagrams
 from irisshelf.gateway.knowledge import fact_gossip
 from irisshelf.observe import decision_log
@@ -28,8 +28,10 @@
         self.log = decision_log.DecisionLog(instance=name, fd=self._fd)
         self.problems = []
         self.log.problem = lambda name, **fields: self.problems.append(name)
-        own = membership.Member(name=name, address="", data_centre=data_centre)
-        self.membership = membership.Membership(own=own)
+        own = membership_module.Member(
+            name=name, address="", data_centre=data_centre
+        )
+        self.membership = membership_module.Membership(own=own)
         self.datagrams = datagrams.Datagrams(
             address="127.0.0.1:0", log=self.log
         )
@@ -39,7 +41,7 @@
             on_fact=self._record,
             rng=random.Random(1),
         )
-        self.member = membership.Member(
+        self.member = membership_module.Member(
             name=name, address=self.datagrams.address, data_centre=data_centre
         )
         self.greenlets = [
--- a/irisshelf/tests/test_peer_discovery.py
+++ b/irisshelf/tests/test_peer_discovery.py
@@ -6,7 +6,7 @@
 import pytest
 
 from irisshelf import boottime
-from irisshelf.coordination import membership
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway import listener
 from irisshelf.gateway.knowledge import peer_discovery
 from irisshelf.observe import decision_log
@@ -17,13 +17,13 @@
 
 
 def _member(name, data_centre="a"):
-    return membership.Member(
+    return membership_module.Member(
         name=name, address=f"10.0.0.1:{name}", data_centre=data_centre
     )
 
 
 def _membership(own, others, now=0.0):
-    membership = membership.Membership(own=_member(own))
+    membership = membership_module.Membership(own=_member(own))
     for name in others:
         membership.record_alive(_member(name), now)
     return membership
@@ -37,13 +37,13 @@
     found = {
         name: _membership(name, _others(name)).leader(1.0) for name in _NAMES
     }
-    (first,) = {name for name, leader in found.items() if leader is None}
-    assert {leader.name for leader in found.values() if leader} == {first}
+    (leader_name,) = {name for name, leader in found.items() if leader is None}
+    assert {leader.name for leader in found.values() if leader} == {leader_name}
 
 
 @pytest.mark.parametrize("data_centre", ["a", "b"])
 def test_the_only_instance_of_a_data_centre_is_its_leader(data_centre):
-    membership = membership.Membership(own=_member("1"))
+    membership = membership_module.Membership(own=_member("1"))
     if data_centre == "b":
         for name in _NAMES[2:]:
             membership.record_alive(_member(name, "b"), 0.0)
@@ -54,23 +54,23 @@
 def test_a_lost_leader_is_replaced(how):
     name = next(n for n in _NAMES if _membership(n, _others(n)).leader(1.0))
     membership = _membership(name, _others(name))
-    first = membership.leader(1.0)
+    leader = membership.leader(1.0)
     now = 1.0
     if how == "left":
-        membership.remove(first.name)
+        membership.remove(leader.name)
     else:
-        now = membership.EXPIRY_S + 0.5
+        now = membership_module.EXPIRY_S + 0.5
         for other in _NAMES:
-            if other not in (name, first.name):
+            if other not in (name, leader.name):
                 membership.record_alive(_member(other), now)
-    assert membership.leader(now) != first
+    assert membership.leader(now) != leader
 
 
 def test_older_reports_of_an_instance_do_not_extend_its_membership():
     membership = _membership("1", ["2"], now=0.0)
     membership.record_alive(_member("2"), -5.0)
     assert [m.name for m, _ in membership.members("a", 5.0)] == ["2"]
-    assert membership.members("a", membership.EXPIRY_S + 0.1) == []
+    assert membership.members("a", membership_module.EXPIRY_S + 0.1) == []
 
 
 def test_a_sample_has_all_local_instances_and_a_few_remote_ones():
@@ -98,7 +98,7 @@
         self._listener.start()
         self.address = f"127.0.0.1:{self._listener.port}"
         self.peers = peer_discovery.PeerDiscovery(
-            own=membership.Member(
+            own=membership_module.Member(
                 name=name, address=self.address, data_centre="a"
             ),
             seeds=seeds,
@@ -157,7 +157,9 @@
     assert requester.peers.request_any("/what") is None
     greenlet = gevent.spawn(requester.peers.run)
     _wait(lambda: first.names() == ["2"])
-    gone = membership.Member(name="0", address="127.0.0.1:9", data_centre="a")
+    gone = membership_module.Member(
+        name="0", address="127.0.0.1:9", data_centre="a"
+    )
     requester.peers.membership.record_alive(gone, boottime.now())
     assert requester.peers.request_any("/what") is None
     first.peers.register_handler("/what", lambda fields: b"this")
