--- a/irisshelf/gateway/requests/request_handler.py
+++ b/irisshelf/gateway/requests/request_handler.py
@@ -209,11 +209,11 @@
     def _record_observation(
         self,
         server: directory.BackendServer,
-        what: server_book.Seen,
+        observed: server_book.Seen,
         detail: str = "",
     ) -> None:
         self._inst.servers.record_observation(
-            server, what, self._job.ask.request_id, detail
+            server, observed, self._job.ask.request_id, detail
         )
 
     def _log_send(self, choice: server_choice.Choice, rested_s: float) -> None:
--- a/irisshelf/gateway/servers/__init__.py
+++ b/irisshelf/gateway/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers as one instance sees and reaches them."""
+"""Backend servers: state, connections and reachability, per instance."""
--- a/irisshelf/gateway/servers/connection_pool.py
+++ b/irisshelf/gateway/servers/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, in use and kept between requests."""
+"""Connections to backend servers, in use and idle."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from irisshelf.catalog import directory
 from irisshelf.transport import client
 
-# Used where a server does not say how long it keeps idle connections, and at
-# the most where it does: some drop them earlier without a sign.
+# Idle limit for servers that do not announce a keep-alive time, and upper bound
+# for those that do: some drop idle connections earlier without notice.
 _MAX_IDLE_S = 4.0
-# Closed so long before the server would.
+# Idle connections are closed this long before the server would close them.
 _CLOSE_MARGIN_S = 1.0
 _MAX_IDLE_PER_SERVER = 16
 
@@ -25,7 +25,10 @@
 
 
 class ConnectionPool:
-    """Connections by life of a server.
+    """Connections, by server id.
+
+    A server id stands for one incarnation of a server: the time from the start
+    of its process to its exit. A restarted server has a new one.
 
     Args:
         now: Monotonic seconds.
@@ -39,7 +42,7 @@
     def acquire(
         self, server: directory.BackendServer, *, max_idle_s: float
     ) -> client.Connection | None:
-        """Returns a connection that has rested no longer than asked."""
+        """Returns an idle connection; None if there is none recent enough."""
         now = self._now()
         idle_conns = self._idle.get(server.server_id, [])
         while idle_conns:
@@ -56,31 +59,31 @@
     def mark_in_use(
         self, server: directory.BackendServer, conn: client.Connection
     ) -> None:
-        """Takes that an exchange begins."""
+        """Records that a connection is in use for a request."""
         self._in_use[conn] = server
 
     def abort_replaced(self, incarnations: Mapping[str, str]) -> int:
-        """Aborts exchanges with incarnations that another one has replaced.
+        """Aborts requests at servers whose process has been replaced.
 
-        A server that starts again has lost what it worked on. If it went dark,
-        nothing else tells: those who wait there would until their patience or
-        their callers' time is over.
+        A restarted server has lost the requests that it was processing. If its
+        host went silent, nothing else shows that, and these requests would wait
+        until their response time-out or their caller's deadline.
 
         Args:
-            incarnations: The listed life of each id.
+            incarnations: The server id now listed for each entry id.
 
         Returns:
-            How many were broken off.
+            The number of requests aborted.
         """
-        ended = [
+        replaced = [
             conn
             for conn, server in self._in_use.items()
             if incarnations.get(server.entry_id, server.server_id)
             != server.server_id
         ]
-        for conn in ended:
+        for conn in replaced:
             conn.break_off()
-        return len(ended)
+        return len(replaced)
 
     def release(
         self,
@@ -88,7 +91,7 @@
         conn: client.Connection,
         keep_alive_s: float | None,
     ) -> None:
-        """Takes that an exchange has ended; keeps its connection if it may."""
+        """Records the end of a request; keeps its connection if reusable."""
         self._in_use.pop(conn, None)
         idle_conns = self._idle.setdefault(server.server_id, [])
         keep_s = _MAX_IDLE_S
@@ -107,7 +110,7 @@
     def add_idle(
         self, server: directory.BackendServer, conn: client.Connection
     ) -> None:
-        """Keeps a connection that nothing has been sent on yet."""
+        """Adds a connection on which nothing has been sent yet."""
         now = self._now()
         idle_conns = self._idle.setdefault(server.server_id, [])
         idle_conns.append(
@@ -117,13 +120,13 @@
     def close_idle(
         self, server: directory.BackendServer, *, before_s: float
     ) -> int:
-        """Closes a server's connections that have rested since before a time.
+        """Closes connections to a server that went idle before a given time.
 
-        Open connections may all go silent at once, without a reset, while new
-        ones work; then each would swallow one request more.
+        All open connections may go silent at once, without a reset, while new
+        ones work. Each of them would then lose one more request.
 
         Returns:
-            How many were closed.
+            The number of connections closed.
         """
         idle_conns = self._idle.get(server.server_id, [])
         old = [idle for idle in idle_conns if idle.since_s < before_s]
@@ -133,13 +136,13 @@
         return len(old)
 
     def retain(self, names: frozenset[str]) -> None:
-        """Closes idle connections to servers that are not listed."""
+        """Closes idle connections to servers that are no longer listed."""
         for name in [n for n in self._idle if n not in names]:
             for idle in self._idle.pop(name):
                 idle.conn.close()
 
     def close_expired(self) -> None:
-        """Closes connections that have rested too long."""
+        """Closes connections that have been idle for too long."""
         now = self._now()
         for name, idle_conns in self._idle.items():
             kept = []
--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -1,8 +1,8 @@
-"""What one instance does about requests that end the servers that run them.
+"""Tracks requests that crash the backend servers that process them.
 
-See ``routing.suspects`` for what is decided; here is what it is decided by:
-whether a server has ended, what has been answered well of late, and what
-other instances have seen.
+``routing.suspects`` makes the decisions. This module provides their input:
+whether a server's process has exited, which requests have succeeded recently,
+and what other instances report.
 """
 
 from __future__ import annotations
@@ -23,44 +23,44 @@
 from irisshelf.transport import client
 from irisshelf.transport import errors
 
-# Good answers that are remembered, and the longest bodies among them: 3 MB at
-# the most. A content that many repeat is among them when a server ends, so that
-# it is not blamed for that.
-_RECENT = 512
-_RECENT_BODY_BYTES = 4096
-# A server that has ended is not asked again so soon: none is back by then. One
-# that listens may end the next moment.
+# Number of recent successful requests that are remembered, and the largest body
+# among them: about 3 MB at most. A request that many callers repeat is usually
+# among them when a server exits, and is then not blamed for the crash.
+_MAX_RECENT = 512
+_MAX_RECENT_BODY_BYTES = 4096
+# A server that has exited is not probed again for this long, as none restarts
+# faster. That a server listens is not remembered: it may exit at any moment.
 _EXIT_KNOWN_S = 1.0
+# A server that exited within this time may have crashed under a suspect request
+# from another instance whose message, which is sent twice, is still under way.
+_PRESUMED_CRASH_S = 1.0
 
-# A server that has gone may have ended under a suspect request at another
-# instance as long as the message about it, which is sent twice, may take.
-_PRESUMED_S = 1.0
-
-_Asked = tuple[str, str, str, bytes]
+_RequestKey = tuple[str, str, str, bytes]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SuspectPlacement:
-    """Where a suspect request may go; see ``suspects.Place``."""
+    """Where a suspect request may be sent; see ``suspects.Place``."""
 
     server: directory.BackendServer | None
     uncertain: bool
 
 
 class CrashTracker:
-    """Knows contents that servers ended under, and tells of them.
+    """Tracks which requests crash servers, and notifies other instances.
 
     Args:
-        servers: How servers are reached.
+        servers: State of the servers and connections to them.
         listed: The servers that the store lists.
-        log: Takes decisions.
+        log: The decision log.
         counts: Metrics.
         now: Monotonic seconds.
 
     Attributes:
-        suspects: What is known of contents.
-        on_crash: Told of an end that this instance saw, to tell the others.
-        on_clear: Told of a content that is cleared, to tell the others.
+        suspects: Suspect request fingerprints and the crashes behind them.
+        on_crash: Called with a crash that this instance observed, to notify
+            others.
+        on_clear: Called with a fingerprint that is cleared, to notify others.
     """
 
     def __init__(
@@ -80,129 +80,133 @@
         self._log = log
         self._metrics = counts
         self._now = now
-        self._recent: collections.deque[_Asked] = collections.deque(
-            maxlen=_RECENT
+        self._succeeded: collections.deque[_RequestKey] = collections.deque(
+            maxlen=_MAX_RECENT
         )
-        # By life: when it was found to have ended.
+        # By server id: when the process was found to have exited.
         self._exited_s: dict[str, float] = {}
         self._probes: dict[str, gevent.Greenlet] = {}
 
     def verdict(self, job: messages.Job) -> suspects.Verdict | None:
-        """Returns what is thought of a request; None if it is clear.
+        """Returns the verdict on a request; None if it is not suspect.
 
-        As long as no content is suspect, which is nearly always, this is one
-        look. Bodies are read only where team, path and length are those of a
-        suspect one, as a long one holds up the loop.
+        While nothing is suspect, which is nearly always, this is a single
+        check. The body is hashed only if team, method, path and length match a
+        suspect request, as hashing a long body blocks the event loop.
         """
         if not self._may_be_suspect(job):
             return None
-        found = self.suspects.judge(_content(job), self._now())
+        found = self.suspects.judge(_fingerprint(job), self._now())
         return None if found.stage is suspects.Stage.CLEAR else found
 
     def place_suspect(
         self, job: messages.Job, verdict: suspects.Verdict, avoid: set[str]
     ) -> SuspectPlacement:
-        """Returns the one server that a suspect request may go to, if any."""
-        known = {
+        """Returns the only server that a suspect request may be sent to."""
+        by_id = {
             server.server_id: server
             for server in self._servers.eligible.accepting(
                 job.service, job.regions
             )
         }
-        gone = {
+        exited = {
             name
-            for name, server in known.items()
-            if self._servers.exited_for_s(server) <= _PRESUMED_S
+            for name, server in by_id.items()
+            if self._servers.exited_for_s(server) <= _PRESUMED_CRASH_S
         }
-        fit = [
+        candidates = [
             name
-            for name, server in known.items()
-            if name in gone
+            for name, server in by_id.items()
+            if name in exited
             or (name not in avoid and not self._servers.is_unreachable(server))
         ]
         keys = {end.server for end in verdict.ends}
         found = suspects.place(
-            _content(job),
-            fit,
-            ended={name for name in fit if directory.key_of(name) in keys},
-            gone=gone,
+            _fingerprint(job),
+            candidates,
+            ended={
+                name for name in candidates if directory.key_of(name) in keys
+            },
+            gone=exited,
             ends=len(verdict.ends),
         )
-        server = None if found.server is None else known[found.server]
+        server = None if found.server is None else by_id[found.server]
         return SuspectPlacement(server=server, uncertain=found.uncertain)
 
     def record_disconnect(
         self, job: messages.Job, server: directory.BackendServer
     ) -> bool:
-        """Takes that a connection broke before anything of an answer came.
+        """Records that a connection broke before any response data arrived.
 
         Returns:
-            Whether the request looks as if it had ended the server.
+            Whether the request seems to have crashed the server.
         """
-        if not self.has_exited(server) or _asked(job) in self._recent:
+        if not self.has_exited(server) or _request_key(job) in self._succeeded:
             return False
         end = suspects.End(
             server=directory.key_of(server.server_id), at_s=self._now()
         )
-        content = _content(job)
+        fingerprint = _fingerprint(job)
         if self._apply_crash(
-            content, end, job.ask.request_id, server.server_id
+            fingerprint, end, job.ask.request_id, server.server_id
         ):
-            self.on_crash(content, end)
+            self.on_crash(fingerprint, end)
         return True
 
     def record_success(self, job: messages.Job) -> None:
-        """Takes that a request was answered well."""
-        if len(job.inbound.body) <= _RECENT_BODY_BYTES:
-            self._recent.append(_asked(job))
+        """Records that a request has succeeded."""
+        if len(job.inbound.body) <= _MAX_RECENT_BODY_BYTES:
+            self._succeeded.append(_request_key(job))
         if not self._may_be_suspect(job):
             return
-        content = _content(job)
-        if self._clear(content, job.ask.request_id):
-            self.on_clear(content)
+        fingerprint = _fingerprint(job)
+        if self._clear(fingerprint, job.ask.request_id):
+            self.on_clear(fingerprint)
 
     def record_refusal(
         self, job: messages.Job, verdict: suspects.Verdict
     ) -> None:
-        """Takes that a request is refused for what servers ended under."""
+        """Records that a request is rejected for crashing servers."""
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
             "request_barred",
             job.ask.request_id,
-            content=_content(job).hex(),
+            content=_fingerprint(job).hex(),
             servers=[end.server.hex() for end in verdict.ends],
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
-    def receive_crash(self, content: bytes, end: suspects.End) -> None:
-        """Takes an end that another instance has seen, if it is confirmed here.
+    def receive_crash(self, fingerprint: bytes, end: suspects.End) -> None:
+        """Applies a crash that another instance reports, if confirmed here.
 
-        A datagram may say anything. It counts only if this instance finds the
-        server ended as well: its entry has gone, or nobody listens there.
+        A datagram may be forged or wrong. It counts only if this instance also
+        finds that the server has exited: its entry is gone, or nothing
+        listens at its address.
         """
         server = self._servers.by_key(end.server)
         if server is None:
             if self._servers.recently_delisted(end.server):
-                self._apply_reported_crash(content, end, "")
+                self._apply_reported_crash(fingerprint, end, "")
             return
         if self.has_exited(server):
-            self._apply_reported_crash(content, end, server.server_id)
+            self._apply_reported_crash(fingerprint, end, server.server_id)
 
-    def receive_clear(self, content: bytes) -> None:
-        """Takes that another instance has a good answer to a content."""
-        self._clear(content, "")
+    def receive_clear(self, fingerprint: bytes) -> None:
+        """Applies that another instance has seen the request succeed."""
+        self._clear(fingerprint, "")
 
-    def merge_crash(self, content: bytes, end: suspects.End) -> None:
-        """Takes what a neighbour has answered to this instance's question."""
-        self._apply_crash(content, end, "", "")
+    def merge_crash(self, fingerprint: bytes, end: suspects.End) -> None:
+        """Adds a crash from a peer's snapshot that this instance requested."""
+        self._apply_crash(fingerprint, end, "", "")
 
     def has_exited(self, server: directory.BackendServer) -> bool:
-        """Tells whether a listed server's process has ended.
+        """Returns whether a listed server's process has exited.
 
-        A reset alone says nothing: connections are reset, and die while an
-        instance stands still. But where a process has ended, its machine
-        refuses a new connection. A server that is silent is cut off or dark,
-        which no request brings about; one that leaves ends as planned.
+        A connection reset does not show that: connections are also reset for
+        other reasons, and break while an instance is suspended. But when a
+        process has exited, its host refuses new connections. A silent server
+        is unresponsive or partitioned, which no request causes, and one that
+        is draining exits as planned.
         """
         listed = self._listed.get(server.entry_id)
         if listed is None or self._servers.eligible.is_leaving(server):
@@ -230,10 +234,10 @@
 
     def _probe(self, server: directory.BackendServer) -> bool:
         try:
-            ended = self._is_refusing(server)
+            exited = self._is_refusing(server)
         finally:
             del self._probes[server.server_id]
-        if ended:
+        if exited:
             now = self._now()
             self._exited_s = {
                 name: exited_s
@@ -241,10 +245,10 @@
                 if now - exited_s < _EXIT_KNOWN_S
             }
             self._exited_s[server.server_id] = now
-        return ended
+        return exited
 
     def _is_refusing(self, server: directory.BackendServer) -> bool:
-        """Tells whether nobody listens at a server's address."""
+        """Returns whether a server's host refuses connections."""
         self._metrics.connects.labels(server.service).inc()
         try:
             conn = client.connect(
@@ -257,24 +261,26 @@
         return False
 
     def _apply_reported_crash(
-        self, content: bytes, end: suspects.End, name: str
+        self, fingerprint: bytes, end: suspects.End, name: str
     ) -> None:
-        known = any(suspects.content_of(*a) == content for a in self._recent)
-        if known:
-            self.on_clear(content)
+        succeeded = any(
+            suspects.content_of(*a) == fingerprint for a in self._succeeded
+        )
+        if succeeded:
+            self.on_clear(fingerprint)
             return
-        self._apply_crash(content, end, "", name)
+        self._apply_crash(fingerprint, end, "", name)
 
     def _apply_crash(
-        self, content: bytes, end: suspects.End, request: str, name: str
+        self, fingerprint: bytes, end: suspects.End, request: str, name: str
     ) -> bool:
-        if not self.suspects.ended(content, end, self._now()):
+        if not self.suspects.ended(fingerprint, end, self._now()):
             return False
-        verdict = self.suspects.judge(content, self._now())
+        verdict = self.suspects.judge(fingerprint, self._now())
         self._metrics.crashes.labels(verdict.stage.value).inc()
         self._log.problem(
             "server_ended_under_request",
-            content=content.hex(),
+            content=fingerprint.hex(),
             request=request,
             server=name,
             key=end.server.hex(),
@@ -283,24 +289,24 @@
         )
         return True
 
-    def _clear(self, content: bytes, request: str) -> bool:
-        if not self.suspects.served(content):
+    def _clear(self, fingerprint: bytes, request: str) -> bool:
+        if not self.suspects.served(fingerprint):
             return False
         self._metrics.crashes.labels("cleared").inc()
         self._log.instance(
-            "content_cleared", content=content.hex(), request=request
+            "content_cleared", content=fingerprint.hex(), request=request
         )
         return True
 
 
-def _asked(job: messages.Job) -> _Asked:
+def _request_key(job: messages.Job) -> _RequestKey:
     inbound = job.inbound
     return (job.team, inbound.method, inbound.target, inbound.body)
 
 
-def _content(job: messages.Job) -> bytes:
-    return suspects.content_of(*_asked(job))
+def _fingerprint(job: messages.Job) -> bytes:
+    return suspects.content_of(*_request_key(job))
 
 
 def _no_peers(*facts: object) -> None:
-    """Stands in until there are others to tell."""
+    """Default callback, used until gossip is connected."""
--- a/irisshelf/gateway/servers/eligibility.py
+++ b/irisshelf/gateway/servers/eligibility.py
@@ -1,8 +1,8 @@
-"""Which backend servers may get a request, whatever their load and health.
+"""Which backend servers may receive a request, whatever their load and health.
 
-Servers of evacuated data centres get nothing, nor do those that say that they
-want nothing, see ``routing.direct.availability``. Requests keep to their
-regions, and cold servers get few, see ``routing.direct.cold_start``.
+Servers in evacuated data centres receive no requests, nor do those that report
+that they accept none, see ``routing.direct.availability``. Requests stay within
+their regions, and cold servers receive few, see ``routing.direct.cold_start``.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 
 class Eligibility:
-    """Tells which servers may get requests.
+    """Determines which servers may receive requests.
 
     Args:
-        cfg: The settings; replaced when they are read anew.
+        cfg: The settings; replaced when they are reloaded.
         listed: The servers that the store lists.
-        evacuations: Data centres whose servers get nothing.
-        rng: Spreads the ends of rests.
+        evacuations: Data centres whose servers receive no requests.
+        rng: Adds jitter to the ends of backoffs.
         now: Monotonic seconds.
 
     Attributes:
-        availability: What servers say of themselves.
-        services: Of the configuration in force, by name.
-        members: Names of the instances of the own data centre; none if they
-            are not known well enough.
+        availability: What servers report about themselves.
+        services: The services of the configuration in force, by name.
+        members: Returns the names of the instances in the own data centre; none
+            if they are not known well enough.
         cold: Which servers are cold.
     """
 
@@ -61,9 +61,9 @@
     def usable(
         self, service: str, regions: frozenset[str] | None = None
     ) -> tuple[directory.BackendServer, ...]:
-        """Returns the listed servers of a service that stand where they may.
+        """Returns the listed servers of a service in permitted locations.
 
-        Some of them may take no request now, see ``accepting``.
+        Some of them may accept no requests now, see ``accepting``.
 
         Args:
             service: The service.
@@ -75,7 +75,7 @@
     def accepting(
         self, service: str, regions: frozenset[str] | None = None
     ) -> tuple[directory.BackendServer, ...]:
-        """Returns the servers of a service that take requests now.
+        """Returns the servers of a service that accept requests now.
 
         Args:
             service: The service.
@@ -84,20 +84,20 @@
         return tuple(filter(self.accepts, self.usable(service, regions)))
 
     def accepts(self, server: directory.BackendServer) -> bool:
-        """Tells whether a request may be sent to a server now."""
+        """Returns whether a request may be sent to a server now."""
         if server.state is not directory.ServerState.READY:
             return False
         return self._block(server) is None
 
     def is_leaving(self, server: directory.BackendServer) -> bool:
-        """Tells whether a server leaves, as it or its entry says."""
+        """Returns whether a server is draining, by its own report or entry."""
         listed = self._listed.get(server.entry_id)
         return (
             listed is not None and listed.state is directory.ServerState.LEAVING
         ) or self.availability.is_leaving(server.server_id)
 
     def paused(self, service: str) -> tuple[directory.BackendServer, ...]:
-        """Returns the servers of a service that take no request for a while."""
+        """Returns the servers of a service that are in a temporary backoff."""
         return tuple(
             server
             for server in self.usable(service)
@@ -107,9 +107,9 @@
     def accepting_in_s(
         self, service: str, regions: frozenset[str] | None = None
     ) -> float | None:
-        """Returns when the first server of a service takes requests again.
+        """Returns how long until the first server accepts requests again.
 
-        None if one takes them now, or if none will as far as is known.
+        None if one accepts them now, or if none will as far as is known.
 
         Args:
             service: The service.
@@ -122,21 +122,21 @@
         return min(pauses_s, default=None)
 
     def evacuated(self, service: str) -> tuple[directory.BackendServer, ...]:
-        """Returns the listed servers that stand in evacuated places."""
-        names = self._evacuations.now()
-        if not names:
+        """Returns the listed servers of a service in evacuated data centres."""
+        evacuated = self._evacuations.now()
+        if not evacuated:
             return ()
         listed = self._listed.of(service)
-        return tuple(s for s in listed if s.data_centre in names)
+        return tuple(s for s in listed if s.data_centre in evacuated)
 
     def sources(
         self, service: str, regions: frozenset[str] | None = None
     ) -> tuple[directory.BackendServer, ...]:
-        """Returns the listed servers that may serve parts of prompts.
+        """Returns the listed servers that cached prompt parts may be read from.
 
         Args:
             service: The service.
-            regions: Where the prompt may be; None for anywhere.
+            regions: Where the prompt may be processed; None for anywhere.
         """
         servers = self._listed.of(service)
         if self._evacuations.now():
@@ -149,20 +149,20 @@
         return self._in_regions(servers, regions)
 
     def all_evacuated_for_s(self, service: str) -> float | None:
-        """Returns for how long no server may get requests for evacuations.
+        """Returns how long evacuations have kept all servers from requests.
 
-        None if that is not why there is none.
+        None if evacuations are not the reason.
         """
         if self.usable(service) or not self._listed.of(service):
             return None
         return self._evacuations.lasted_s(self._now())
 
     def probeable(self) -> tuple[directory.BackendServer, ...]:
-        """Returns the servers that may be asked for a connection."""
+        """Returns the servers that may be probed."""
         return self._not_evacuated(self._listed.servers())
 
     def update_from_entries(self, changes: Iterable[directory.Change]) -> None:
-        """Takes what servers' entries say of coldness."""
+        """Updates which servers are cold from their entries."""
         now = self._now()
         for change in changes:
             server = change.server
@@ -170,25 +170,25 @@
                 self.cold.told(server.server_id, server.cold_s, now)
 
     def evacuation_lifted(self, data_centre: str) -> None:
-        """Takes that a data centre's servers may get requests again.
+        """Handles that servers of a data centre may receive requests again.
 
-        They may have gone cold just before, of which no entry has told yet.
+        They may have become cold just before, which no entry shows yet.
         """
         for server in self._listed.servers():
             if server.data_centre == data_centre:
                 self.assume_cold(server)
 
     def cold_bounds(self, service: str) -> cold_start.Bounds | None:
-        """Returns what a cold server may get; None for as much as others."""
-        known = self.services.get(service)
-        if known is None or not known.cold_per_s:
+        """Returns the request limits of cold servers; None if unlimited."""
+        config = self.services.get(service)
+        if config is None or not config.cold_per_s:
             return None
         bounds = self.cfg.bounds
         overage = bounds.cold_overage or 1.0
         return cold_start.Bounds(
-            per_s=known.cold_per_s,
+            per_s=config.cold_per_s,
             most_in_a_second=(
-                known.cold_per_s * overage + (bounds.cold_slack or 0.0)
+                config.cold_per_s * overage + (bounds.cold_slack or 0.0)
             ),
         )
 
@@ -197,15 +197,15 @@
     ) -> tuple[
         Sequence[directory.BackendServer], Sequence[directory.BackendServer]
     ]:
-        """Returns a service's servers that are warm and those that are cold."""
+        """Splits a service's servers into warm and cold ones."""
         if self.cold_bounds(service) is None:
             return servers, ()
         return self.cold.split(servers, self._now())
 
     def cold_wait_s(self, server: directory.BackendServer) -> float:
-        """Returns when a cold server may get a request from here, in seconds.
+        """Returns how long until a cold server may get a request from here.
 
-        Then it has become warm, or it is the turn of this instance.
+        By then it has become warm, or it is this instance's turn.
         """
         now = self._now()
         left_s = self.cold.left_s(server.server_id, now)
@@ -218,14 +218,14 @@
         return min(left_s, turn_s)
 
     def record_sent_to_cold(self, server: directory.BackendServer) -> None:
-        """Takes that a server that is cold gets a request from here."""
+        """Records that this instance sends a request to a cold server."""
         bounds = self.cold_bounds(server.service)
         if bounds is not None:
             count = len(self.members())
             self.cold.sent(server.server_id, bounds, count, self._now())
 
     def assume_cold(self, server: directory.BackendServer) -> None:
-        """Takes that a server may be cold, though it has not said so."""
+        """Assumes that a server is cold although no entry says so."""
         service = self.services.get(server.service)
         if service is not None:
             now = self._now()
@@ -250,8 +250,10 @@
     ) -> tuple[directory.BackendServer, ...]:
         if regions is None:
             return servers
-        where = self.cfg.regions
-        return tuple(s for s in servers if where.get(s.data_centre) in regions)
+        region_of = self.cfg.regions
+        return tuple(
+            s for s in servers if region_of.get(s.data_centre) in regions
+        )
 
     def _not_evacuated(
         self, servers: tuple[directory.BackendServer, ...]
--- a/irisshelf/gateway/servers/reachability.py
+++ b/irisshelf/gateway/servers/reachability.py
@@ -1,12 +1,13 @@
-"""Finds out, by bare connections, whether backend servers can be reached.
-
-A server that goes dark, or a data centre that is cut off, says nothing: its
-requests just wait. So a server that has been silent while it should speak is
-asked for a connection, which costs it nothing. One that cannot be reached is
-asked again and again until it can; no request has to try it meanwhile. And as
-what stands together is cut off together, a few of its neighbours are asked at
-once, and a few of theirs if they are lost as well: never all, as every instance
-enabled at the same moment.
+"""Probes backend servers by opening TCP connections to them.
+
+When a server becomes unresponsive or a data centre is partitioned, nothing
+reports it: requests there just wait. So a server that is silent while it should
+send data is probed by opening a connection, which costs it next to nothing. An
+unreachable server is probed until it is reachable again, so that no request has
+to try it. As servers of a data centre are usually cut off together, a few
+neighbours of an unreachable server are probed at once, and a few of theirs if
+they are unreachable as well: never all, as every instance probes at the same
+moment.
 """
 
 from __future__ import annotations
@@ -22,40 +23,43 @@
 from irisshelf.transport import client
 from irisshelf.transport import errors
 
-# Servers answer a connect in 1 to 3 ms. One that does not in this time is
-# dark or cut off.
+# Servers accept a connection in 1 to 3 ms. One that does not within this time
+# is unresponsive or partitioned.
 CONNECT_TIMEOUT_S = 0.1
-# A server asked by many instances at once is slower, and nobody waits for this
-# answer but requests that have been silent anyway.
+# Longer than CONNECT_TIMEOUT_S, as a server probed by many instances at once is
+# slower, and only requests that are silent anyway wait for the result.
 _PROBE_TIMEOUT_S = 0.2
-# A time-out that is noticed so late was spent by this process, not the server.
+# A time-out noticed later than this was caused by a delay in this process, not
+# by the server.
 _MAX_SCHEDULING_DELAY_S = 0.03
-# Neighbours of a silent server that are asked.
+# Number of neighbours of an unreachable server that are probed.
 _NEIGHBOURS_PROBED = 2
-# Engines say something every 20 to 60 ms while they work; a server that has
-# said nothing for so long is asked for a connection.
+# Engines send data every 20 to 60 ms while they work. A server that has sent
+# nothing for this long is probed.
 SILENCE_THRESHOLD_S = 0.15
-# A server that has just been reached is not asked again so soon.
+# A server that was reached is not probed again within this time.
 _MIN_PROBE_INTERVAL_S = 0.5
-# Pauses between the tries to reach a lost server; the last one repeats. Each
-# try is a packet or two.
+# Intervals between probes of an unreachable server; the last one repeats. Each
+# probe is one or two packets.
 _RETRY_INTERVALS_S = (0.3, 0.5, 0.8)
 
 
 class ReachabilityProber:
-    """Asks servers for connections.
+    """Probes servers in the background.
 
     Args:
-        links: Takes connections that came about.
-        listed: Tells the servers that are listed now.
-        last_activity_s: Tells when a server was last heard, monotonic seconds.
-        on_reached: Told of a server that can be reached.
-        on_unreachable: Told of a server that cannot, and why; told each time.
+        connection_pool: Receives the connections that probes open.
+        listed: Returns the servers that are listed now.
+        last_activity_s: Returns when data last arrived from a server, monotonic
+            seconds.
+        on_reached: Called with a server that is reachable.
+        on_unreachable: Called with a server that is not, and the error, after
+            every failed probe.
         rng: Picks neighbours.
         now: Monotonic seconds.
-        enabled: Whether servers are asked at all.
-        connect: Makes a connection.
-        sleep: Waits between attempts.
+        enabled: Whether servers are probed at all.
+        connect: Opens a connection.
+        sleep: Waits between probes.
     """
 
     def __init__(
@@ -88,38 +92,40 @@
         self._reached_s: dict[str, float] = {}
 
     def probe_if_silent(self, server: directory.BackendServer) -> None:
-        """Asks a server that has been silent, unless it has just been heard."""
+        """Probes a server unless it has sent data or been reached recently."""
         name = server.server_id
-        known_s = max(
+        next_probe_s = max(
             self._last_activity_s(server) + SILENCE_THRESHOLD_S,
             self._reached_s.get(name, float("-inf")) + _MIN_PROBE_INTERVAL_S,
         )
-        if self._now() >= known_s:
-            self._start(server, pause_s=0.0)
+        if self._now() >= next_probe_s:
+            self._start_probe(server, delay_s=0.0)
 
     def start_probing(
         self, server: directory.BackendServer, *, silent: bool
     ) -> None:
-        """Takes that a server cannot be reached; asks until it can be.
+        """Probes an unreachable server until it is reachable again.
 
         Args:
             server: The server.
-            silent: Whether it said nothing at all, rather than refuse.
+            silent: Whether the attempt timed out, rather than being refused.
         """
-        self._start(server, pause_s=_RETRY_INTERVALS_S[0])
+        self._start_probe(server, delay_s=_RETRY_INTERVALS_S[0])
         if not silent:
             return
-        near = [
+        neighbours = [
             other
             for other in self._listed()
             if other.data_centre == server.data_centre
             and other.server_id not in self._probes
         ]
-        for other in self._rng.sample(near, min(_NEIGHBOURS_PROBED, len(near))):
+        for other in self._rng.sample(
+            neighbours, min(_NEIGHBOURS_PROBED, len(neighbours))
+        ):
             self.probe_if_silent(other)
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forgets servers that are not listed any more."""
+        """Forgets servers that are no longer listed."""
         self._reached_s = {
             name: at_s
             for name, at_s in self._reached_s.items()
@@ -127,19 +133,19 @@
         }
 
     def close(self) -> None:
-        """Ends all asking."""
+        """Stops all probes."""
         gevent.killall(list(self._probes.values()))
 
-    def _start(
-        self, server: directory.BackendServer, *, pause_s: float
+    def _start_probe(
+        self, server: directory.BackendServer, *, delay_s: float
     ) -> None:
         name = server.server_id
         if self._enabled and name not in self._probes:
-            self._probes[name] = gevent.spawn(self._run, server, pause_s)
+            self._probes[name] = gevent.spawn(self._run, server, delay_s)
 
-    def _run(self, server: directory.BackendServer, pause_s: float) -> None:
+    def _run(self, server: directory.BackendServer, delay_s: float) -> None:
         try:
-            self._sleep(pause_s)
+            self._sleep(delay_s)
             attempts = 0
             while self._is_listed(server) and not self._probe(server):
                 self._sleep(
@@ -152,14 +158,14 @@
             del self._probes[server.server_id]
 
     def _probe(self, server: directory.BackendServer) -> bool:
-        began_s = self._now()
+        started_s = self._now()
         try:
             conn = self._connect(server.address, timeout_s=_PROBE_TIMEOUT_S)
         except errors.ConnectError as exc:
-            passed_s = self._now() - began_s
+            elapsed_s = self._now() - started_s
             if (
                 not exc.silent
-                or passed_s <= _PROBE_TIMEOUT_S + _MAX_SCHEDULING_DELAY_S
+                or elapsed_s <= _PROBE_TIMEOUT_S + _MAX_SCHEDULING_DELAY_S
             ):
                 self._on_unreachable(server, exc)
             return False
--- a/irisshelf/gateway/servers/server_reports.py
+++ b/irisshelf/gateway/servers/server_reports.py
@@ -1,4 +1,4 @@
-"""What backend servers say of themselves in answers: kept, logged, told."""
+"""Handles what backend servers report about themselves in responses."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ReportHandler:
-    """Takes the reports of servers.
+    """Applies and logs servers' reports, and publishes them to other instances.
 
     Args:
-        availability: Which servers take requests.
-        on_load: Takes a server's load.
-        on_backoff: Takes that a server asks for rest.
-        tell: Tells other instances.
-        log: Takes decisions.
+        availability: Which servers accept requests.
+        on_load: Called with a server's load.
+        on_backoff: Called when a server asks for a backoff.
+        publish: Sends a fact to other instances.
+        log: The decision log.
         counts: Metrics.
         now: Monotonic seconds.
     """
@@ -50,17 +50,17 @@
         report: messages.ServerReport,
         request: str,
     ) -> None:
-        """Takes what a server says of itself in an answer.
+        """Handles the report in a response head.
 
         Args:
-            server: Whom the request was sent to.
-            report: What the answer says.
-            request: The request's id.
+            server: The server that the request was sent to.
+            report: The report.
+            request: The id of the request.
         """
         for header in report.unreadable:
             self._log_unreadable(server, header, request)
         if report.absent:
-            # The report is another server's.
+            # Another server responded; the rest of the report is about it.
             self._handle_absent(server, request)
             return
         if report.load is not None:
@@ -73,7 +73,7 @@
     def record_response(
         self, server: directory.BackendServer, sent_s: float
     ) -> None:
-        """Takes that a server has taken a request and answered it.
+        """Records that a server has accepted and answered a request.
 
         Args:
             server: The server.
@@ -90,13 +90,13 @@
         self, server: directory.BackendServer, request: str
     ) -> None:
         if self._availability.is_absent(server.server_id, self._now()):
-            self._log_pause(server, "absent", request)
+            self._log_not_accepting(server, "absent", request)
 
     def _handle_leaving(
         self, server: directory.BackendServer, request: str
     ) -> None:
         if self._availability.leaves(server.server_id):
-            self._log_pause(server, "leaving", request)
+            self._log_not_accepting(server, "leaving", request)
             self._publish_pause(server, availability_module.LONGEST_TOLD_S)
 
     def _handle_backoff(
@@ -104,7 +104,7 @@
     ) -> None:
         self._on_backoff(server)
         if self._availability.rests(server.server_id, rest_s, self._now()):
-            self._log_pause(server, "resting", request, rest_s)
+            self._log_not_accepting(server, "resting", request, rest_s)
             self._publish_pause(server, rest_s)
 
     def _publish_pause(
@@ -125,20 +125,20 @@
             header=header,
         )
 
-    def _log_pause(
+    def _log_not_accepting(
         self,
         server: directory.BackendServer,
-        says: str,
+        why: str,
         request: str,
         rest_s: float = 0.0,
     ) -> None:
-        self._metrics.reports.labels(says).inc()
+        self._metrics.reports.labels(why).inc()
         self._log.problem(
             "server_accepts_nothing",
             server=server.server_id,
             address=server.address,
             service=server.service,
-            why=says,
+            why=why,
             rest_s=rest_s,
             listed=server.state.value,
             request=request,
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -1,4 +1,4 @@
-"""What one entry instance knows of backend servers, and how it reaches them."""
+"""State of backend servers, as one instance sees them, and access to them."""
 
 from __future__ import annotations
 
@@ -26,21 +26,24 @@
 from irisshelf.routing.direct import server_choice
 from irisshelf.transport import errors
 
-# For so long a server that is not listed any more is known to have left.
+# How long a server is remembered after it is no longer listed.
 _DELISTED_KNOWN_S = 60.0
 
 
 class Servers:
-    """Servers of all services: choice, load, health, connections.
+    """Servers of all services: selection, load, health, connections.
 
     Args:
         cfg: The settings; replaced when they are read anew.
         listed: The servers that the store lists.
-        eligible: Which of them may get requests.
-        log: Takes decisions.
+        eligible: Which of them may receive requests.
+        log: The decision log.
         counts: Metrics.
         rng: For weights and ties.
         now: Monotonic seconds.
+
+    Attributes:
+        publish: Sends a fact to other instances.
     """
 
     def __init__(
@@ -78,7 +81,7 @@
             now=now,
         )
         self.fleet = fleet_size.FleetSize(alone=not cfg.seeds)
-        # When a server's process was first found to have ended.
+        # By server id: when the process was first found to have exited.
         self._exited_s: dict[str, float] = {}
         self._listed = listed
         self._log = log
@@ -86,7 +89,7 @@
         self._rng = rng
         self._now = now
         self._by_key: dict[bytes, directory.BackendServer] = {}
-        # Ids in the list by their keys; those of incarnations differ.
+        # Entry ids by their keys; these differ from the keys of server ids.
         self._ids: dict[bytes, str] = {}
         self._delisted_s: dict[bytes, float] = {}
         self._choosers: dict[str, server_choice.Chooser] = {}
@@ -96,21 +99,21 @@
         )
 
     def is_isolated(self, services: Iterable[str]) -> bool:
-        """Tells whether no server at all can be reached from here.
+        """Returns whether this instance can reach no server at all.
 
-        All servers are hardly lost at once: it is this instance that is cut
-        off, and others serve its callers better.
+        All servers hardly fail at once. It is more likely that this instance is
+        partitioned, so that other instances can serve its callers better.
 
         Args:
-            services: Those of the configuration. An entry of another service
-                is another writer's; nobody tries it, so that it never is out
-                of reach.
+            services: The services in the configuration. Entries of other
+                services are ignored: no requests are sent to them, so that
+                they would never be found unreachable.
         """
         servers = [s for name in services for s in self.eligible.usable(name)]
         return bool(servers) and all(map(self.is_unreachable, servers))
 
     def chooser(self, service: str) -> server_choice.Chooser:
-        """Returns what chooses the servers of a service."""
+        """Returns the chooser for a service."""
         found = self._choosers.get(service)
         if found is None:
             found = server_choice.Chooser(
@@ -122,7 +125,7 @@
         return found
 
     def overload(self, service: str) -> overload.Overload:
-        """Returns what admits requests to a service."""
+        """Returns the admission control of a service."""
         return self._overloads[service]
 
     def budget(self, service: str) -> retry_budget.RetryBudget:
@@ -143,7 +146,7 @@
     def record_reported_load(
         self, server: directory.BackendServer, load: messages.Load
     ) -> None:
-        """Takes a server's load, and tells other instances."""
+        """Records the load that a server reports and publishes it."""
         now = self._now()
         work = load.running + load.waiting
         book = self.chooser(server.service).book
@@ -152,26 +155,26 @@
         self.publish(facts.ServerLoad(server=key, work=work, at_s=now))
 
     def record_sent_prompt(
-        self, server: directory.BackendServer, asked: prompt.Prompt
+        self, server: directory.BackendServer, sent: prompt.Prompt
     ) -> None:
-        """Notes what a server has read by now, and tells other instances."""
+        """Records the prompt parts that a server now caches; publishes them."""
         chooser = self.chooser(server.service)
-        fresh = chooser.sent(asked, server.server_id, self._now())
+        new_parts = chooser.sent(sent, server.server_id, self._now())
         key = directory.key_of(server.server_id)
-        for part in fresh:
+        for part in new_parts:
             self.publish(facts.PartHeld(server=key, part=part))
 
     @functools.singledispatchmethod
     def apply_fact(self, fact: facts.Fact) -> None:
-        """Takes what another instance tells of a server."""
+        """Applies a fact about a server that another instance published."""
         raise TypeError(f"fact is {fact!r}, allowed: {facts.Fact}")
 
     @apply_fact.register
     def _(self, fact: facts.PartHeld) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
-            held = self.chooser(server.service).holdings
-            held.heard(fact.part, server.server_id, self._now())
+            cache = self.chooser(server.service).holdings
+            cache.heard(fact.part, server.server_id, self._now())
 
     @apply_fact.register
     def _(self, fact: facts.ServerCold) -> None:
@@ -199,7 +202,7 @@
             book.told(server.server_id, work=fact.work, at_s=fact.at_s)
 
     def publish_cold(self, changes: Iterable[directory.Change]) -> None:
-        """Tells other instances of servers that the store says are cold."""
+        """Publishes which servers the store lists as cold."""
         now = self._now()
         for change in changes:
             if change.server is not None and change.server.cold_s:
@@ -208,7 +211,7 @@
                 self.publish(facts.ServerCold(server=key, until_s=until_s))
 
     def on_list_changed(self) -> None:
-        """Forgets what is known of servers that are not listed any more."""
+        """Drops the state of servers that are no longer listed."""
         servers = self._listed.servers()
         names = frozenset(server.server_id for server in servers)
         before = self._by_key
@@ -233,11 +236,11 @@
         self._metrics.servers.set(len(servers))
 
     def by_key(self, key: bytes) -> directory.BackendServer | None:
-        """Returns the listed server that has a short key."""
+        """Returns the listed server that has a key, if any."""
         return self._by_key.get(key)
 
     def recently_delisted(self, key: bytes) -> bool:
-        """Tells whether a server was listed until a short while ago."""
+        """Returns whether a server was listed until recently."""
         delisted_s = self._delisted_s.get(key, float("-inf"))
         return self._now() - delisted_s < _DELISTED_KNOWN_S
 
@@ -259,20 +262,20 @@
             self._log.instance("exchanges_of_ended_lives", broken_off=count)
 
     def record_activity(self, server: directory.BackendServer) -> None:
-        """Takes that bytes have come from a server."""
+        """Records that data has arrived from a server."""
         book = self.chooser(server.service).book
         book.heard(server.server_id, self._now())
 
     def exited_for_s(self, server: directory.BackendServer) -> float:
-        """Returns for how long a server's process is known to have ended.
+        """Returns how long ago a server's process was found to have exited.
 
-        Infinite if it is not known to.
+        Infinite if it was not.
         """
         exited_s = self._exited_s.get(server.server_id, float("-inf"))
         return self._now() - exited_s
 
     def is_unreachable(self, server: directory.BackendServer) -> bool:
-        """Tells whether a server was out of reach the last time."""
+        """Returns whether the last attempt to reach a server failed."""
         return self.chooser(server.service).book.unreachable(server.server_id)
 
     def record_unreachable(
@@ -281,9 +284,9 @@
         exc: errors.ConnectError,
         request: str,
     ) -> None:
-        """Takes that no connection came about; asks for one from now on."""
-        what = server_book.Seen.UNREACHABLE
-        self.record_observation(server, what, request, str(exc))
+        """Records a failed connection attempt and starts probing."""
+        outcome = server_book.Seen.UNREACHABLE
+        self.record_observation(server, outcome, request, str(exc))
         if not exc.silent:
             self._exited_s.setdefault(server.server_id, self._now())
         self.prober.start_probing(server, silent=exc.silent)
@@ -291,11 +294,11 @@
     def close_suspect_connections(
         self, server: directory.BackendServer, silent_since_s: float
     ) -> None:
-        """Gives up connections that may be as dead as one that is silent.
+        """Closes idle connections that may be as dead as one that is silent.
 
         Args:
-            server: Where they lead to.
-            silent_since_s: Since when one of them has been silent.
+            server: The server that they lead to.
+            silent_since_s: When one of them went silent, monotonic seconds.
         """
         count = self.connection_pool.close_idle(server, before_s=silent_since_s)
         if count:
@@ -323,7 +326,7 @@
                 service=server.service,
             )
         if server.server_id in self._exited_s:
-            # Its process has started anew; its entry tells so a little later.
+            # The process has restarted; its new entry follows a little later.
             del self._exited_s[server.server_id]
             self.eligible.assume_cold(server)
         book = self.chooser(server.service).book
@@ -337,15 +340,15 @@
     def record_observation(
         self,
         server: directory.BackendServer,
-        what: server_book.Seen,
+        outcome: server_book.Seen,
         request: str,
         detail: str = "",
     ) -> None:
-        """Takes what a request showed of a server."""
+        """Records what a request showed about a server."""
         book = self.chooser(server.service).book
-        why = book.seen(server.server_id, what, self._now())
-        if what is not server_book.Seen.WELL:
-            self._metrics.failures.labels(what.value).inc()
+        why = book.seen(server.server_id, outcome, self._now())
+        if outcome is not server_book.Seen.WELL:
+            self._metrics.failures.labels(outcome.value).inc()
         if why:
             self._metrics.rests.labels(server.service).inc()
             self._log.problem(
@@ -354,11 +357,11 @@
                 address=server.address,
                 service=server.service,
                 why=why,
-                seen=what.value,
+                seen=outcome.value,
                 request=request,
                 detail=detail,
             )
 
 
 def _no_peers(fact: facts.Fact) -> None:
-    """Stands in until there are others to tell."""
+    """Default for ``publish``, used until gossip is connected."""
