--- a/irisshelf/tests/test_crash_processes.py
+++ b/irisshelf/tests/test_crash_processes.py
@@ -1,4 +1,4 @@
-"""Real instances: one that starts later knows what servers ended under."""
+"""Real processes: an instance that starts later learns of earlier crashes."""
 
 import time
 
@@ -70,7 +70,7 @@
 
 
 def _ask(entry, body):
-    """Returns the status of one request; 0 if there was no answer."""
+    """Returns the status of one request; 0 if there was no response."""
     headers = {
         "Host": world.HOST,
         "Request-Id": f"r{boottime.now()}",
@@ -89,14 +89,16 @@
     return answer.status
 
 
-def test_an_instance_that_starts_later_refuses_it(platform, make_entry):
+def test_an_instance_that_starts_later_rejects_the_request(
+    platform, make_entry
+):
     _, servers = platform
     first = make_entry()
     assert [_ask(first, _BODY) for _ in range(4)] == [502, 502, 502, 503]
-    # Word of the last end has been told twice by then, and nobody was there.
+    # By then the last crash has been reported twice, to no other instance.
     gevent.sleep(1.0)
     second = make_entry()
-    # It asks a neighbour as soon as it has found one.
+    # It requests the known crashes from a peer as soon as it has found one.
     refused = fleet.wait_until(
         lambda: "server_ended_under_request" in second.log.read_text(),
         time.monotonic() + _START_S,
--- a/irisshelf/tests/test_crashing_requests.py
+++ b/irisshelf/tests/test_crashing_requests.py
@@ -1,12 +1,11 @@
-"""Incident: requests that end every server that begins to run them.
-
-Seen: seven servers in thirteen seconds, then sixteen more, each ended under the
-same few requests, and beside them every stream that those servers worked on.
-How it came about: a caller repeated the request, with a new id each time, at
-four of six instances; each repeat was sent to a server that was well. Cause:
-what a request did was forgotten with its answer, and told to nobody, so that
-no number of ended servers stopped the next one. Proof: the same path, team and
-body, repeated here at one instance and at several, end a server each time.
+"""Requests that crash every server that processes them.
+
+Regression: seven servers crashed within thirteen seconds, then sixteen more,
+all on the same few requests, and every stream on those servers was lost. A
+caller had retried the request, with a new id each time, at four of six
+instances, and each retry went to a healthy server. Instances neither remembered
+which request had crashed a server nor told each other. The tests repeat a
+request with the same path, team and body, at one instance and at several.
 """
 
 import gevent
@@ -15,8 +14,8 @@
 from irisshelf import boottime
 from irisshelf.routing import suspects
 
-# So many servers may end under a request before all instances know it.
-_ALLOWED = 3
+# Limit on servers that a request may crash before all instances bar it.
+_MAX_CRASHES = 3
 _BODY = b'{"prompt": "the one that ends them"}'
 _REPEATS = 10
 _KINDS = [
@@ -30,7 +29,7 @@
     pytest.param(("a", "a", "a"), id="one-data-centre"),
     pytest.param(("a", "a", "b", "b", "c", "c"), id="three-data-centres"),
 ]
-# One of a day has asked the last server by then, and its word is everywhere.
+# By then the crash has been confirmed at the server and reported everywhere.
 _PAUSE_S = 0.03
 
 
@@ -44,7 +43,7 @@
         one.away_s = away_s
 
 
-def _ends(world):
+def _crashes(world):
     return sum(one.ends for one in _servers(world))
 
 
@@ -59,17 +58,15 @@
 
 @pytest.mark.parametrize("places", _PLACES)
 @pytest.mark.parametrize("target", _KINDS)
-def test_three_servers_end_under_a_request_and_no_more(
-    make_world, target, places
-):
+def test_a_request_crashes_at_most_three_servers(make_world, target, places):
     world = make_world(servers=_REPEATS + 4, data_centres=places)
     _crash_under(world, _BODY)
     _repeat(world, target)
-    assert _ends(world) <= _ALLOWED
+    assert _crashes(world) <= _MAX_CRASHES
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_servers_that_come_back_do_not_end_again(make_world, target):
+def test_restarted_servers_are_not_crashed_again(make_world, target):
     world = make_world(servers=3)
     for one in _servers(world):
         one.born_ms = 1000
@@ -77,11 +74,11 @@
     for _ in range(8):
         world.ask(target, body=_BODY)
         gevent.sleep(0.15)
-    assert _ends(world) <= _ALLOWED
+    assert _crashes(world) <= _MAX_CRASHES
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_callers_that_repeat_it_at_once_end_no_more(make_world, target):
+def test_concurrent_repeats_crash_no_more_servers(make_world, target):
     places = ("a", "a", "b", "b")
     world = make_world(servers=16, data_centres=places)
     _crash_under(world, _BODY)
@@ -91,39 +88,39 @@
             world.ask(target, body=_BODY, entry=entry)
             gevent.sleep(_PAUSE_S)
 
-    # Guards against a copy that finds its server gone and takes the next one.
-    # The first one is heard of before the others come.
+    # Guards against a repeat that finds its server gone and is sent to the next
+    # one. The first crash is known everywhere before the repeats start.
     world.ask(target, body=_BODY)
     gevent.sleep(_PAUSE_S)
     gevent.joinall([gevent.spawn(repeat, n) for n in range(len(places))])
-    assert _ends(world) <= _ALLOWED
+    assert _crashes(world) <= _MAX_CRASHES
 
 
-def _next_server(world, ended):
-    """Returns the server that the one suspect request goes to now."""
-    group = world.engines if ended[0] in world.engines else world.plain
+def _next_server(world, crashed):
+    """Returns the server that the only suspect request is sent to next."""
+    group = world.engines if crashed[0] in world.engines else world.plain
     (content,) = world.inst.crashes.suspects.all(boottime.now())
     by_id = {one.server_id: one for one in group}
-    names = [one.server_id for one in group if one not in ended]
+    names = [one.server_id for one in group if one not in crashed]
     return by_id[suspects.place(content, names).server]
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_no_other_is_risked_while_it_is_unknown_why_the_third_has_gone(
+def test_no_server_is_risked_until_the_third_exit_is_explained(
     make_world, target
 ):
-    """Guards against a fourth end: the message about the third comes late."""
+    """Guards against a fourth crash while the report on the third is late."""
     world = make_world(servers=8)
     _crash_under(world, _BODY)
     _repeat(world, target, times=2)
-    ended = [one for one in _servers(world) if one.ends]
-    third = _next_server(world, ended)
+    crashed = [one for one in _servers(world) if one.ends]
+    third = _next_server(world, crashed)
     third.crash()
     answer = world.ask(target, body=_BODY, Request_Id="mine")
     assert (answer.status, world.runs("mine")) == (503, 0)
     assert 0 < float(answer.headers["retry-after"]) <= 1
-    assert len([one for one in _servers(world) if one.ends]) == len(ended) + 1
-    # Nothing has said that it ended the third; so it did not.
+    assert len([one for one in _servers(world) if one.ends]) == len(crashed) + 1
+    # No report blames the request for the third crash, so it is sent again.
     for one in _servers(world):
         one.ends_under = lambda run: False
     gevent.sleep(1.1)
@@ -131,20 +128,20 @@
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_it_is_refused_at_once_with_the_truth(make_world, target):
+def test_a_barred_request_is_rejected_at_once_as_not_run(make_world, target):
     world = make_world(servers=_REPEATS + 4)
     _crash_under(world, _BODY)
     _repeat(world, target)
     answer = world.ask(target, body=_BODY, Request_Id="mine")
     assert (answer.status, answer.whole) == (503, True)
-    # Nothing that invites the caller to come again soon.
+    # The caller must not be invited to retry soon.
     assert float(answer.headers["retry-after"]) >= 60
     assert b"ended" in answer.body
     assert world.runs("mine") == 0
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_other_requests_beside_it_are_served(make_world, target):
+def test_other_requests_are_served_meanwhile(make_world, target):
     world = make_world(servers=8)
     _crash_under(world, _BODY, away_s=0.1)
     others = set()
@@ -153,14 +150,14 @@
         others.add(world.ask(target, body=b"{}").status)
         gevent.sleep(0.1)
     assert others == {200}
-    assert _ends(world) <= _ALLOWED
+    assert _crashes(world) <= _MAX_CRASHES
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_a_hot_request_beside_servers_that_end_of_themselves_is_served(
+def test_a_frequent_request_is_not_blamed_for_unrelated_crashes(
     make_world, target
 ):
-    """Many repeat it, and it is under way wherever a server ends."""
+    """Many callers repeat it, so that it is in flight at every crash."""
     world = make_world(servers=12, data_centres=("a", "b"))
     for one in _servers(world):
         one.away_s = 0.3
@@ -172,15 +169,15 @@
             statuses.append(answer.status)
             gevent.sleep(0.005)
 
-    def end_servers():
+    def crash_servers():
         for number in range(6):
             gevent.sleep(0.1)
             for group in (world.plain, world.engines):
                 group[number].crash()
 
     callers = [gevent.spawn(repeat, n % 2) for n in range(6)]
-    gevent.joinall([*callers, gevent.spawn(end_servers)])
+    gevent.joinall([*callers, gevent.spawn(crash_servers)])
     refused = [s for s in statuses if s == 503]
-    # What ran at a server as it ended may have run; nothing else is lost.
+    # Only requests in flight at a crash may fail; they may have run.
     assert len(refused) <= 3
     assert len([s for s in statuses if s == 200]) >= 0.9 * len(statuses)
--- a/irisshelf/tests/test_draining_and_backoff.py
+++ b/irisshelf/tests/test_draining_and_backoff.py
@@ -1,14 +1,12 @@
-"""Incident: requests sent to servers that had said in answers not to send any.
-
-Seen: a server that was leaving got eleven requests of five instances, 12 to 14
-seconds after two of them had passed on answers in which it said so; two engines
-that turned requests away with 503 and ``Retry-After: 3`` got 130 more in five
-seconds, up to 23 of them from one instance in one rest. How it came about: the
-store was away as the first server left, so that its entry could not tell; the
-others' entries have no word for a rest. Cause: whether a server takes requests
-was read from the store's list alone, and nothing that an answer's head says of
-its server was kept beyond the request. Proof: the same answers, given here
-while the list stays as it is, are followed by further requests on every path.
+"""Servers that announce draining or backoff in responses get no more requests.
+
+Regression: a draining server got eleven requests from five instances, 12 to 14
+seconds after two of them had relayed responses that announced it. Two engines
+that responded 503 with ``Retry-After: 3`` got 130 more requests in five
+seconds, up to 23 of them from one instance within one backoff. Whether a server
+accepts requests was read from the store's list only, and that list could not
+show it: the store was down while the server drained, and entries have no field
+for a backoff. The tests give such responses while the list stays unchanged.
 """
 
 import itertools
@@ -28,9 +26,9 @@
     pytest.param("/valve/1", id="idempotent"),
 ]
 _REQUESTS = 12
-# So many requests may reach a server from an instance in one rest.
-_ALLOWED_IN_A_REST = 2
-_REST_S = 30
+# Limit on requests from one instance to a server within one backoff.
+_MAX_REQUESTS_IN_BACKOFF = 2
+_BACKOFF_S = 30
 
 
 def _group(world, target):
@@ -39,7 +37,7 @@
 
 
 def _fastest(world, target):
-    """Returns a server that all requests prefer, as the others are slow."""
+    """Makes all servers but one slow, so that requests prefer that one."""
     first, *others = _group(world, target)
     for one in others:
         one.work_s = 0.02
@@ -51,7 +49,7 @@
 
 
 def _write(world, one, entry):
-    """Writes an entry; the instance has it afterwards."""
+    """Writes an entry and waits until the instance has it."""
     world.store.put("servers", one.server_id, entry)
     known = (entry.get("born"), entry["slots"])
     world.wait(
@@ -62,8 +60,8 @@
     )
 
 
-def _ask_until_reached(world, one, target, **options):
-    """Asks until one server has answered; it says what it says."""
+def _send_until_reached(world, one, target, **options):
+    """Sends requests until the given server has received one."""
     for _ in range(50):
         before = len(one.arrivals)
         world.ask(target, **options)
@@ -72,8 +70,8 @@
     raise AssertionError(f"{one.server_id} got none of 50 requests")
 
 
-def _ask_until_all_reached(world, group, target):
-    """Asks until each server has answered, be it to a second send."""
+def _send_until_all_reached(world, group, target):
+    """Sends requests until each server has received one or a retry."""
     for _ in range(50):
         if all(one.arrivals for one in group):
             return
@@ -81,8 +79,8 @@
     raise AssertionError("a server got none of 50 requests")
 
 
-def _arrivals_after(world, one, target, **options):
-    """Returns how many of further requests reach a server, and the answers."""
+def _count_arrivals(world, one, target, **options):
+    """Sends more requests; returns how many reach a server, and responses."""
     before = len(one.arrivals)
     answers = [world.ask(target, **options) for _ in range(_REQUESTS)]
     return len(one.arrivals) - before, answers
@@ -94,19 +92,19 @@
     [
         pytest.param(server_module.Fault.NONE, id="success"),
         pytest.param(server_module.Fault.FAIL, id="failure"),
-        pytest.param(server_module.Fault.REFUSE, id="turned-down"),
+        pytest.param(server_module.Fault.REFUSE, id="rejected"),
     ],
 )
-def test_a_server_that_says_it_leaves_gets_nothing_more(
+def test_a_server_that_announces_draining_gets_no_more_requests(
     make_world, target, fault
 ):
     world = make_world(servers=3)
     leaving = _fastest(world, target)
     leaving.leaving = True
     leaving.always = fault
-    _ask_until_reached(world, leaving, target)
+    _send_until_reached(world, leaving, target)
     leaving.always = server_module.Fault.NONE
-    count, answers = _arrivals_after(world, leaving, target)
+    count, answers = _count_arrivals(world, leaving, target)
     assert count == 0
     assert [a.status for a in answers] == [200] * _REQUESTS
 
@@ -117,14 +115,16 @@
     [
         pytest.param(("ready",), id="written-again"),
         pytest.param((None, "ready"), id="gone-and-back"),
-        pytest.param(("draining", "ready"), id="leaving-and-ready"),
+        pytest.param(("draining", "ready"), id="draining-and-ready"),
     ],
 )
-def test_no_entry_of_the_same_life_takes_it_back(make_world, target, entries):
+def test_no_entry_of_the_same_incarnation_revokes_draining(
+    make_world, target, entries
+):
     world = make_world(servers=3)
     leaving = _fastest(world, target)
     leaving.leaving = True
-    _ask_until_reached(world, leaving, target)
+    _send_until_reached(world, leaving, target)
     for slots, state in enumerate(entries, start=9):
         if state is None:
             world.store.drop("servers", leaving.server_id)
@@ -132,34 +132,36 @@
         else:
             entry = leaving.entry(state) | {"slots": slots}
             _write(world, leaving, entry)
-    count, _ = _arrivals_after(world, leaving, target)
+    count, _ = _count_arrivals(world, leaving, target)
     assert count == 0
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_a_new_life_of_it_gets_requests(make_world, target):
+def test_a_restarted_server_gets_requests(make_world, target):
     world = make_world(servers=2)
     first, second = _group(world, target)
     for one in (first, second):
         one.born_ms = 1000
         _write(world, one, one.entry())
     first.leaving = True
-    _ask_until_reached(world, first, target)
+    _send_until_reached(world, first, target)
     first.leaving = False
     first.born_ms = 2000
     _write(world, first, first.entry())
     second.leaving = True
-    _ask_until_reached(world, second, target)
-    _ask_until_reached(world, first, target)
+    _send_until_reached(world, second, target)
+    _send_until_reached(world, first, target)
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_when_all_leave_callers_hear_so_at_once(make_world, target):
+def test_when_all_servers_drain_requests_are_rejected_at_once(
+    make_world, target
+):
     world = make_world(servers=2)
     group = _group(world, target)
     for one in group:
         one.leaving = True
-    _ask_until_all_reached(world, group, target)
+    _send_until_all_reached(world, group, target)
     before = sum(len(one.arrivals) for one in group)
     answer = world.ask(target)
     assert (answer.status, answer.whole) == (503, True)
@@ -171,89 +173,89 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        pytest.param(server_module.Fault.REFUSE, id="says-not-run"),
+        pytest.param(server_module.Fault.REFUSE, id="rejected-not-run"),
         pytest.param(server_module.Fault.BARE_503, id="plain-503"),
     ],
 )
-def test_a_server_that_wants_rest_gets_two_at_the_most(
+def test_a_server_in_backoff_gets_at_most_two_requests(
     make_world, target, fault
 ):
     world = make_world(servers=3)
-    resting = _fastest(world, target)
-    resting.always = fault
-    resting.rest_s = _REST_S
-    _ask_until_reached(world, resting, target)
-    count, answers = _arrivals_after(world, resting, target)
-    assert count <= _ALLOWED_IN_A_REST
+    backing_off = _fastest(world, target)
+    backing_off.always = fault
+    backing_off.rest_s = _BACKOFF_S
+    _send_until_reached(world, backing_off, target)
+    count, answers = _count_arrivals(world, backing_off, target)
+    assert count <= _MAX_REQUESTS_IN_BACKOFF
     assert [a.status for a in answers] == [200] * _REQUESTS
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_second_sends_are_no_way_round_a_rest(make_world, target):
-    """Another server fails requests, which are sent again where they may."""
+def test_retries_respect_a_backoff(make_world, target):
+    """Another server fails requests, so that they are retried."""
     world = make_world(servers=3)
-    resting, failing, _ = _group(world, target)
-    resting.refuses = True
-    resting.rest_s = _REST_S
-    _ask_until_reached(world, resting, target)
+    backing_off, failing, _ = _group(world, target)
+    backing_off.refuses = True
+    backing_off.rest_s = _BACKOFF_S
+    _send_until_reached(world, backing_off, target)
     failing.always = server_module.Fault.FAIL
-    count, _ = _arrivals_after(world, resting, target)
-    assert count <= _ALLOWED_IN_A_REST
+    count, _ = _count_arrivals(world, backing_off, target)
+    assert count <= _MAX_REQUESTS_IN_BACKOFF
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_when_all_rest_callers_are_told_when_to_return(make_world, target):
+def test_when_all_servers_back_off_callers_get_a_retry_after(
+    make_world, target
+):
     world = make_world(servers=2)
     group = _group(world, target)
     for one in group:
         one.refuses = True
-        one.rest_s = _REST_S
-    _ask_until_all_reached(world, group, target)
+        one.rest_s = _BACKOFF_S
+    _send_until_all_reached(world, group, target)
     before = sum(len(one.arrivals) for one in group)
     answer = world.ask(target)
     assert (answer.status, answer.whole) == (503, True)
-    assert float(answer.headers["retry-after"]) >= _REST_S - 1
+    assert float(answer.headers["retry-after"]) >= _BACKOFF_S - 1
     assert sum(len(one.arrivals) for one in group) == before
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_a_server_has_requests_again_after_its_rest(make_world, target):
+def test_a_server_gets_requests_again_after_its_backoff(make_world, target):
     world = make_world(servers=2)
     first, second = _group(world, target)
     first.refuses = True
     first.rest_s = 0.3
-    _ask_until_reached(world, first, target)
+    _send_until_reached(world, first, target)
     first.refuses = False
     gevent.sleep(0.6)
     second.refuses = True
-    _ask_until_reached(world, first, target)
+    _send_until_reached(world, first, target)
 
 
 @pytest.mark.parametrize("target", _KINDS)
 @pytest.mark.parametrize("says", ["leaving", "resting"])
-def test_other_instances_are_told(make_world, target, says):
+def test_other_instances_are_notified(make_world, target, says):
     world = make_world(servers=3, data_centres=("a", "a", "b"))
     one = _fastest(world, target)
-    one.refuses = one.rest_s = _REST_S if says == "resting" else None
+    one.refuses = one.rest_s = _BACKOFF_S if says == "resting" else None
     one.leaving = says == "leaving"
-    _ask_until_reached(world, one, target)
-    # Facts go out four times a second, by way of two instances.
+    _send_until_reached(world, one, target)
+    # Facts are sent four times a second, through two instances.
     gevent.sleep(1.0)
     for entry in (1, 2):
-        count, answers = _arrivals_after(world, one, target, entry=entry)
+        count, answers = _count_arrivals(world, one, target, entry=entry)
         assert count == 0
         assert [a.status for a in answers] == [200] * _REQUESTS
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_a_server_that_has_rested_gets_less_load_from_all_instances(
-    make_world, target
-):
-    """Guards against a server that is filled anew as soon as it is back."""
+def test_after_a_backoff_all_instances_limit_the_load(make_world, target):
+    """Guards against overloading a server again as soon as it is back."""
     world = make_world(servers=3, data_centres=("a", "a", "b"))
     one = _fastest(world, target)
-    one.refuses, one.rest_s = True, _REST_S
-    _ask_until_reached(world, one, target)
+    one.refuses, one.rest_s = True, _BACKOFF_S
+    _send_until_reached(world, one, target)
 
     def limits():
         listed = _listed(world, one)
@@ -270,26 +272,24 @@
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_another_servers_answer_says_nothing_of_the_one_meant(
-    make_world, target
-):
+def test_a_report_by_another_server_does_not_count(make_world, target):
     world = make_world(servers=1)
     (one,) = _group(world, target)
     one.leaving = True
     one.server_id, own = "i-other", one.server_id
     assert world.ask(target).status == 503
     one.server_id, one.leaving = own, False
-    # Its address is tried again after a while.
+    # Its address is tried again after some time.
     world.wait(lambda: world.ask(target).status == 200)
 
 
 @pytest.fixture
-def leaves_on_connect(monkeypatch):
-    """Lets a server say that it leaves while a connection to it is made."""
-    left = []
+def drains_on_connect(monkeypatch):
+    """Makes a server announce draining while a connection is opened to it."""
+    drained = []
 
     def prepare(world, number):
-        """Prepares the connection of such a number, counted from one."""
+        """Selects the connection by number, counted from one."""
         made = itertools.count(1)
         connect = placement.client.connect
 
@@ -298,71 +298,73 @@
             if next(made) == number:
                 for server in world.inst.directory.servers():
                     if server.address == address:
-                        left.append(server.server_id)
+                        drained.append(server.server_id)
                         availability = world.inst.eligible.availability
                         availability.leaves(server.server_id)
             return conn
 
         monkeypatch.setattr(placement.client, "connect", connect_slowly)
-        return left
+        return drained
 
     return prepare
 
 
-def _runs(world, target, left):
-    (name,) = left
+def _runs(world, target, drained):
+    (name,) = drained
     return [
         r for s in _group(world, target) for r in s.runs if name == r.server_id
     ]
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_a_server_that_says_so_while_it_is_connected_to(
-    make_world, leaves_on_connect, target
+def test_draining_announced_while_connecting_is_respected(
+    make_world, drains_on_connect, target
 ):
     world = make_world(servers=2)
     conn = world.connect()
-    left = leaves_on_connect(world, 1)
+    drained = drains_on_connect(world, 1)
     assert world.ask(target, conn=conn).status == 200
-    assert not _runs(world, target, left)
+    assert not _runs(world, target, drained)
 
 
 @pytest.mark.parametrize("target", ["/digest/1", "/valve/1"])
-def test_a_server_that_says_so_while_it_is_to_replace_a_silent_one(
-    make_world, leaves_on_connect, target
+def test_draining_announced_while_failing_over_is_respected(
+    make_world, drains_on_connect, target
 ):
     world = make_world(servers=3)
     for one in _group(world, target):
         one.faults.append(server_module.Fault.HANG)
     conn = world.connect()
-    left = leaves_on_connect(world, 2)
+    drained = drains_on_connect(world, 2)
     world.ask(target, conn=conn)
-    assert not _runs(world, target, left)
+    assert not _runs(world, target, drained)
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_a_server_that_turns_all_away_draws_no_more_than_others(
+def test_a_server_that_rejects_everything_attracts_no_extra_load(
     make_world, target
 ):
-    """It asks for no rest, and answers faster than those that work."""
+    """It asks for no backoff, and responds faster than working servers."""
     world = make_world(servers=3)
     one = _fastest(world, target)
     one.refuses = True
-    _ask_until_reached(world, one, target)
-    count, answers = _arrivals_after(world, one, target)
+    _send_until_reached(world, one, target)
+    count, answers = _count_arrivals(world, one, target)
     assert count <= _REQUESTS / 3
     assert [a.status for a in answers].count(200) >= _REQUESTS - count
 
 
 @pytest.mark.parametrize("target", _KINDS)
-def test_a_server_that_turned_away_has_requests_again(make_world, target):
+def test_a_server_that_rejected_requests_gets_requests_again(
+    make_world, target
+):
     world = make_world(servers=2)
     first, second = _group(world, target)
     first.refuses = True
-    _ask_until_reached(world, first, target)
-    _arrivals_after(world, first, target)
+    _send_until_reached(world, first, target)
+    _count_arrivals(world, first, target)
     first.refuses = False
     second.leaving = True
-    _ask_until_reached(world, second, target)
+    _send_until_reached(world, second, target)
     assert world.ask(target).status == 200
     assert first.runs
--- a/irisshelf/tests/test_gateway_faults.py
+++ b/irisshelf/tests/test_gateway_faults.py
@@ -1,4 +1,4 @@
-"""Faults of backend servers: whole answers, true refusals, one run."""
+"""Backend server faults: complete responses, accurate errors, single runs."""
 
 import gevent
 import pytest
@@ -13,15 +13,15 @@
 )
 
 
-def _first_fault(world, fault):
-    """Makes whichever server is asked first misbehave once."""
-    everyone = [*world.plain, *world.engines]
+def _inject_fault(world, fault):
+    """Injects a fault into the first request, at whichever server gets it."""
+    servers = [*world.plain, *world.engines]
     left = [fault]
 
     def next_fault():
         return left.pop() if left else Fault.NONE
 
-    for one in everyone:
+    for one in servers:
         one.choose_fault = next_fault
 
 
@@ -43,8 +43,8 @@
         (Fault.UNFRAMED, 200, 1),
     ],
 )
-def test_a_safe_request_is_tried_again(world, fault, status, runs):
-    _first_fault(world, fault)
+def test_a_safe_request_is_retried(world, fault, status, runs):
+    _inject_fault(world, fault)
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
     assert (answer.status, answer.whole) == (status, True)
     assert answer.body == b"answer to v"
@@ -69,8 +69,8 @@
         (Fault.UNFRAMED, 200, 1),
     ],
 )
-def test_an_unsafe_request_runs_once_at_most(world, fault, status, runs):
-    _first_fault(world, fault)
+def test_an_unsafe_request_runs_at_most_once(world, fault, status, runs):
+    _inject_fault(world, fault)
     answer = world.ask("/alarm/1", Request_Id="a")
     assert (answer.status, answer.whole) == (status, True)
     assert world.runs("a") == runs
@@ -84,8 +84,8 @@
         ("/query/1", Fault.ENCODED),
     ],
 )
-def test_no_failure_of_ours_carries_a_servers_signature(world, target, fault):
-    _first_fault(world, fault)
+def test_own_errors_carry_no_server_signature(world, target, fault):
+    _inject_fault(world, fault)
     answer = world.ask(target)
     assert answer.status == 502
     assert "response-signature" not in answer.headers
@@ -95,15 +95,15 @@
     "fault",
     [Fault.CUT, Fault.TORN, Fault.RESET_AFTER_RUN, Fault.HANG, Fault.FAIL],
 )
-def test_a_resumable_stream_goes_on_at_another_server(world, fault):
-    _first_fault(world, fault)
+def test_a_resumable_stream_resumes_at_another_server(world, fault):
+    _inject_fault(world, fault)
     answer = world.ask("/digest/1", Request_Id="d")
     assert (answer.status, answer.whole) == (200, True)
     assert answer.body == _ALL_EVENTS
 
 
 def test_a_resumed_stream_keeps_the_first_servers_signature(world):
-    _first_fault(world, Fault.TORN)
+    _inject_fault(world, Fault.TORN)
     answer = world.ask("/digest/1", Request_Id="d")
     runs = [r for s in world.engines for r in s.runs]
     first = min(runs, key=lambda run: run.after_event)
@@ -113,8 +113,8 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.CUT, Fault.TORN])
-def test_a_stream_that_cannot_go_on_looks_cut(world, fault):
-    _first_fault(world, fault)
+def test_a_stream_that_cannot_resume_is_visibly_truncated(world, fault):
+    _inject_fault(world, fault)
     answer = world.ask("/query/1", Request_Id="q")
     assert (answer.status, answer.whole) == (200, False)
     assert _ALL_EVENTS.startswith(answer.body)
@@ -122,13 +122,13 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.RESET_AFTER_RUN, Fault.UNSIGNED])
-def test_a_stream_that_may_run_once_is_not_sent_again(world, fault):
-    _first_fault(world, fault)
+def test_an_at_most_once_stream_is_not_retried(world, fault):
+    _inject_fault(world, fault)
     assert world.ask("/query/1", Request_Id="q").status == 502
     assert world.runs("q") == 1
 
 
-def test_a_caller_goes_on_where_its_stream_broke(world):
+def test_a_caller_resumes_after_its_last_event(world):
     answer = world.ask("/digest/1", Last_Event_Id="2")
     assert answer.body == b"id: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
 
@@ -137,7 +137,9 @@
     ("target", "status"),
     [("/alarm/1", 503), ("/query/1", 503), ("/valve/1", 503)],
 )
-def test_refused_everywhere_is_a_true_refusal(world, target, status):
+def test_a_rejection_by_all_servers_is_reported_as_not_run(
+    world, target, status
+):
     for one in [*world.plain, *world.engines]:
         one.always = Fault.REFUSE
     answer = world.ask(target, Request_Id="x")
@@ -146,7 +148,7 @@
     assert world.runs("x") == 0
 
 
-def test_no_more_servers_than_the_route_allows():
+def test_sends_are_limited_to_the_routes_maximum():
     world = world_module.World(servers=4)
     for one in world.plain:
         one.always = Fault.FAIL
@@ -160,7 +162,7 @@
     ("target", "deadline_ms"),
     [("/alarm/1", "300"), ("/valve/1", "300"), ("/query/1", "300")],
 )
-def test_a_request_that_hangs_is_answered_at_its_deadline(
+def test_a_request_that_hangs_gets_a_response_at_its_deadline(
     world, target, deadline_ms
 ):
     for one in [*world.plain, *world.engines]:
@@ -169,13 +171,13 @@
     assert (answer.status, answer.whole) == (504, True)
 
 
-def test_a_dead_server_costs_a_connect_and_no_answer(world):
+def test_a_dead_server_does_not_fail_requests(world):
     world.plain[0].close()
     answers = {world.ask("/alarm/1").status for _ in range(8)}
     assert answers == {200}
 
 
-def test_a_caller_that_leaves_frees_its_server(world):
+def test_a_caller_that_disconnects_cancels_its_request(world):
     for one in world.engines:
         one.always = Fault.HANG
     conn = world.connect()
@@ -186,7 +188,7 @@
     world.wait(lambda: sum(one.working for one in world.engines) == 0)
 
 
-def test_an_unsafe_request_runs_on_though_its_caller_leaves(world):
+def test_an_unsafe_request_continues_after_its_caller_disconnects(world):
     for one in world.plain:
         one.always = Fault.SLOW
     conn = world.connect()
@@ -199,20 +201,20 @@
 
 
 @pytest.mark.parametrize("moment", [Fault.HANG, Fault.HANG_MIDWAY])
-def test_a_stream_leaves_a_silent_server_that_is_out_of_reach(world, moment):
-    patient = world_module.config(2)
-    for route in patient["routes"]:
+def test_a_stream_fails_over_from_a_silent_unreachable_server(world, moment):
+    config = world_module.config(2)
+    for route in config["routes"]:
         route |= {"targetLatencyMs": 60_000, "gapTargetMs": 60_000}
-    world.store.put("op", "config", patient)
+    world.store.put("op", "config", config)
     world.wait(lambda: world.inst.catalog.version == 2)
-    _first_fault(world, moment)
+    _inject_fault(world, moment)
 
-    def close_the_silent_one():
+    def close_silent_server():
         world.wait(lambda: any(one.working for one in world.engines))
         (silent,) = [one for one in world.engines if one.working]
         silent.close()
 
-    gevent.spawn(close_the_silent_one)
+    gevent.spawn(close_silent_server)
     answer = world.ask("/digest/1", Deadline_Ms="60000")
     assert (answer.status, answer.body) == (200, _ALL_EVENTS)
     (lost,) = [s for s in world.engines if s.closed]
@@ -220,22 +222,22 @@
     assert world.inst.servers.is_unreachable(listed)
 
 
-def test_a_stream_that_may_run_once_waits_for_a_silent_server(world):
-    """Its answer may still come: a silence is no reason to end it sooner."""
-    _first_fault(world, Fault.HANG)
+def test_an_at_most_once_stream_waits_for_a_silent_server(world):
+    """The response may still arrive, so silence does not end the request."""
+    _inject_fault(world, Fault.HANG)
 
-    def close_the_silent_one():
+    def close_silent_server():
         world.wait(lambda: any(one.working for one in world.engines))
         (silent,) = [one for one in world.engines if one.working]
         silent.close()
 
-    gevent.spawn(close_the_silent_one)
+    gevent.spawn(close_silent_server)
     answer = world.ask("/query/1", Deadline_Ms="700", Request_Id="q")
     assert (answer.status, world.runs("q")) == (504, 1)
 
 
-def test_a_silent_server_is_waited_for_if_no_other_is_fit(world):
-    """Leaving it for one out of reach would only lose its answer."""
+def test_a_silent_server_is_waited_for_if_no_other_is_healthy(world):
+    """Failing over to an unreachable server would only lose the response."""
     busy, lost = world.plain
     busy.always = Fault.SLOW
     world.inst.servers.chooser("crew").book.seen(
@@ -246,7 +248,7 @@
     assert (answer.status, world.runs("v")) == (200, 1)
 
 
-def test_a_lost_servers_resting_connection_is_not_used(world):
+def test_an_idle_connection_to_an_unreachable_server_is_not_used(world):
     for _ in range(4):
         world.ask("/valve/1", method="GET", body=b"")
     for one in world.plain:
@@ -272,7 +274,7 @@
     assert ("connection" in answer.headers) is (lost == "all")
 
 
-def test_one_last_resort_is_tried_and_no_more(monkeypatch):
+def test_only_one_unreachable_server_is_tried_as_last_resort(monkeypatch):
     world = world_module.World(servers=4)
     for one in world.plain:
         world.inst.servers.chooser("crew").book.seen(
@@ -295,7 +297,7 @@
     world.close()
 
 
-def test_the_only_server_that_is_fit_is_asked_again(world):
+def test_the_only_healthy_server_is_retried(world):
     only, lost = world.plain
     only.faults.append(Fault.FAIL)
     world.inst.servers.chooser("crew").book.seen(
@@ -306,7 +308,7 @@
     assert (answer.status, world.runs("v")) == (200, 2)
 
 
-def test_an_instance_uses_part_of_the_retries_that_all_may_make(world):
+def test_an_instance_uses_its_share_of_the_retry_budget(world):
     world.inst.servers.instances = 10
     budget = world.inst.servers.budget("crew")
     for _ in range(100):
@@ -317,7 +319,9 @@
     assert 0.5 * whole < left < 0.9 * whole
 
 
-def test_a_connection_in_use_just_now_that_breaks_is_the_servers_fault(world):
+def test_a_broken_connection_that_was_just_in_use_counts_against_the_server(
+    world,
+):
     for _ in range(4):
         world.ask("/digest/1", Prefix_Hash="aa:500,bb:900,own:9")
     (used,) = {r.server_id for s in world.engines for r in s.runs}
--- a/irisshelf/tests/test_saturated_link.py
+++ b/irisshelf/tests/test_saturated_link.py
@@ -1,9 +1,9 @@
-"""The instance's own link is full: answers are late, connections time out.
+"""The instance's own network link is saturated.
 
-The pattern: a long configuration comes in over a narrow link. For a second each
-server seems silent, and no new connection to any other comes about, while
-answers that the servers have made wait in the link's queue. Whoever gives up a
-silent server before another can be reached loses such an answer.
+A large configuration arrives over a slow link. For about a second every server
+seems silent and new connections time out, while responses that the servers have
+sent wait in the link's queue. An instance that abandons a silent server before
+it has reached another one loses such a response.
 """
 
 import gevent
@@ -14,29 +14,29 @@
 from irisshelf.transport import errors
 
 Fault = server.Fault
-# Longer than a silent server is waited for where another can be reached: 0.12 s
-# for safe requests, 0.4 s for a first event, 0.3 s for the next one.
-_FULL_S = 0.9
+# Longer than the time-outs after which an instance fails over: 0.12 s for safe
+# requests, 0.4 s for a first event, 0.3 s for the next one.
+_SATURATED_S = 0.9
 
 
 @pytest.fixture
-def full_link(world, monkeypatch):
-    """Servers are late, and new connections time out."""
+def saturate_link(world, monkeypatch):
+    """Delays responses; returns a function that makes connections time out."""
     for one in [*world.plain, *world.engines]:
-        one.pause_s = _FULL_S
+        one.pause_s = _SATURATED_S
 
     def connect(address, *, timeout_s):
         gevent.sleep(timeout_s)
         raise errors.ConnectError(f"{address}: timed out", silent=True)
 
-    def fill():
+    def saturate():
         monkeypatch.setattr(client, "connect", connect)
         monkeypatch.setattr(world.inst.servers.prober, "_connect", connect)
 
-    return fill
+    return saturate
 
 
-_LATE = pytest.mark.parametrize(
+_DELAYED = pytest.mark.parametrize(
     ("target", "fault"),
     [
         ("/digest/1", Fault.SLOW),
@@ -46,16 +46,19 @@
 )
 
 
-@_LATE
-def test_an_answer_on_its_way_is_not_given_up(world, full_link, target, fault):
-    """It was: streams broken off 0.2 s after their servers had ended them.
+@_DELAYED
+def test_a_response_under_way_is_not_abandoned(
+    world, saturate_link, target, fault
+):
+    """Regression: instances abandoned responses that were already under way.
 
-    And lookups got 502 in place of their answers.
+    Streams were cut off 0.2 s after their servers had completed them, and
+    lookups got 502 instead of their responses.
     """
-    # Guards against a kept connection that is taken for one made now.
+    # Leaves an idle connection, which must not be taken for a new one.
     assert world.ask(target).status == 200
     conn = world.connect()
-    full_link()
+    saturate_link()
     for one in [*world.plain, *world.engines]:
         one.always = fault
     answer = world.ask(target, conn=conn, Request_Id="late")
@@ -63,18 +66,18 @@
     assert world.runs("late") == 1
 
 
-@_LATE
-def test_nor_where_a_connection_to_another_server_is_kept(
-    world, full_link, target, fault
+@_DELAYED
+def test_an_idle_connection_does_not_allow_a_failover(
+    world, saturate_link, target, fault
 ):
-    """Guards against requests that run twice: one at rest proves no link."""
+    """Guards against double runs: an idle connection proves no working link."""
     assert world.ask(target).status == 200
     for name in ("crew", "lm"):
         for listed in world.inst.directory.of(name):
             conn = world.connect_to(listed)
             world.inst.servers.connection_pool.add_idle(listed, conn)
     conn = world.connect()
-    full_link()
+    saturate_link()
     for one in [*world.plain, *world.engines]:
         one.always = fault
     answer = world.ask(target, conn=conn, Request_Id="late")
@@ -83,8 +86,8 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.HANG, Fault.HANG_MIDWAY])
-def test_a_silent_server_is_left_once_another_is_reached(world, fault):
-    """The next send goes over the connection that was the condition."""
+def test_a_silent_server_is_abandoned_once_another_is_reached(world, fault):
+    """The next send uses the connection that allowed the failover."""
     left = [fault]
     for one in world.engines:
         one.choose_fault = lambda: left.pop() if left else Fault.NONE
@@ -97,8 +100,10 @@
     return any(one.working for one in world.plain)
 
 
-def test_what_comes_while_another_is_asked_is_passed_on(world, monkeypatch):
-    """The answer comes while the connection to the other server is made."""
+def test_a_response_that_arrives_while_connecting_is_relayed(
+    world, monkeypatch
+):
+    """The response arrives while the other connection is being opened."""
     connects = []
     made = client.connect
 
@@ -109,7 +114,7 @@
         return made(address, timeout_s=timeout_s)
 
     assert world.ask("/valve/1", method="GET", body=b"").status == 200
-    # Each send has to connect, whichever server it goes to.
+    # Closes idle connections, so that each send has to open one.
     world.inst.servers.connection_pool.retain(frozenset())
     for one in world.plain:
         one.always = Fault.SLOW
--- a/irisshelf/tests/test_server_restarts.py
+++ b/irisshelf/tests/test_server_restarts.py
@@ -1,11 +1,12 @@
-"""A server that starts again under its id has done and holds nothing.
-
-What is known of a server belongs to one life of it: its id and its start. The
-pattern: servers crash, also dark and behind a cut, and start again under the
-same id within seconds, while requests run there and instances hear of it at
-different moments. Taken for the life before, a new one would get prompts for
-what it lost, rest for failures that were not its own, and its loads would be
-told into the past; requests that run at the old one would wait for nothing.
+"""A server that restarts under the same entry id starts without any state.
+
+What an instance knows about a server belongs to one incarnation of it, given
+by entry id and start time. Servers crash, also while unresponsive or
+partitioned, and restart under the same id within seconds. Requests run there
+meanwhile, and instances learn of it at different times. If the new incarnation
+were taken for the old one, it would get prompts for a cache that it has lost,
+be ejected for failures that were not its own, and have its load recorded with
+wrong times. Requests at the old incarnation would wait in vain.
 """
 
 import gevent
@@ -30,7 +31,7 @@
 )
 
 
-def _life(born_ms, port=1):
+def _incarnation(born_ms, port=1):
     return directory.BackendServer(
         server_id=directory.life_id("i-1", born_ms),
         entry_id="i-1",
@@ -42,9 +43,9 @@
     )
 
 
-def _listed(world, life):
+def _list_server(world, server):
     world.inst.directory.apply(
-        [directory.Change(entry_id=life.entry_id, server=life)]
+        [directory.Change(entry_id=server.entry_id, server=server)]
     )
     world.inst.server_list_taken()
 
@@ -53,110 +54,110 @@
     return world.inst.servers.chooser("crew").book
 
 
-def _load(world, life):
+def _load(world, server):
     load = messages.Load(running=9, waiting=9, slots=4)
-    world.inst.servers.record_reported_load(life, load)
+    world.inst.servers.record_reported_load(server, load)
     return lambda of: _book(world).load(of.server_id, world.inst.now()) > 5
 
 
-def _told_by_others(world, life):
-    key = directory.key_of(life.server_id)
-    news = facts.ServerLoad(server=key, work=18, at_s=world.inst.now())
-    world.inst.servers.apply_fact(news)
+def _load_from_peers(world, server):
+    key = directory.key_of(server.server_id)
+    fact = facts.ServerLoad(server=key, work=18, at_s=world.inst.now())
+    world.inst.servers.apply_fact(fact)
     return lambda of: _book(world).load(of.server_id, world.inst.now()) > 5
 
 
-def _rest(world, life):
+def _ejection(world, server):
     for _ in range(4):
         seen = server_book.Seen.BROKEN
-        world.inst.servers.record_observation(life, seen, "r1")
+        world.inst.servers.record_observation(server, seen, "r1")
     return lambda of: not _book(world).fit(of.server_id, world.inst.now())
 
 
-def _out_of_reach(world, life):
+def _unreachable(world, server):
     _book(world).seen(
-        life.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+        server.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
     )
     return world.inst.servers.is_unreachable
 
 
-def _duration(world, life):
-    _book(world).lasted(life.server_id, 3.0)
+def _duration(world, server):
+    _book(world).lasted(server.server_id, 3.0)
     return lambda of: _book(world).duration_s(of.server_id) > 0
 
 
-def _prompt_held(world, life):
-    world.inst.servers.record_sent_prompt(life, _PROMPT)
-    return lambda of: _holds(world, of)
+def _cached_prompt(world, server):
+    world.inst.servers.record_sent_prompt(server, _PROMPT)
+    return lambda of: _has_cached_prompt(world, of)
 
 
-def _prompt_held_by_others_word(world, life):
-    key = directory.key_of(life.server_id)
+def _cached_prompt_from_peers(world, server):
+    key = directory.key_of(server.server_id)
     chooser = world.inst.servers.chooser("crew")
     for part in chooser.sent(_PROMPT, "another", world.inst.now()):
         world.inst.servers.apply_fact(facts.PartHeld(server=key, part=part))
-    return lambda of: _holds(world, of)
+    return lambda of: _has_cached_prompt(world, of)
 
 
-def _holds(world, life):
+def _has_cached_prompt(world, server):
     held = world.inst.servers.chooser("crew").holdings
-    return any(life.server_id in servers for servers in held._held.values())
+    return any(server.server_id in servers for servers in held._held.values())
 
 
-def _connection_at_rest(world, life):
-    resting = world.connect_to(world.plain[0])
-    world.inst.servers.connection_pool.add_idle(life, resting)
+def _idle_connection(world, server):
+    idle = world.connect_to(world.plain[0])
+    world.inst.servers.connection_pool.add_idle(server, idle)
     pool = world.inst.servers.connection_pool
     return lambda of: bool(pool._idle.get(of.server_id))
 
 
-_KNOWLEDGE = [
+_STATE = [
     _load,
-    _told_by_others,
-    _rest,
-    _out_of_reach,
+    _load_from_peers,
+    _ejection,
+    _unreachable,
     _duration,
-    _prompt_held,
-    _prompt_held_by_others_word,
-    _connection_at_rest,
+    _cached_prompt,
+    _cached_prompt_from_peers,
+    _idle_connection,
 ]
 
 
 @pytest.mark.parametrize("born_ms", [_BORN_MS + 1, _BORN_MS - 7_200_000])
-@pytest.mark.parametrize("learn", _KNOWLEDGE, ids=lambda f: f.__name__)
-def test_a_new_life_starts_with_no_knowledge(world, learn, born_ms):
-    """Also where a clock that jumped makes it the one born earlier."""
-    old, new = _life(_BORN_MS), _life(born_ms)
-    _listed(world, old)
+@pytest.mark.parametrize("learn", _STATE, ids=lambda f: f.__name__)
+def test_a_new_incarnation_starts_without_state(world, learn, born_ms):
+    """Also if a clock that was set back makes the new start time earlier."""
+    old, new = _incarnation(_BORN_MS), _incarnation(born_ms)
+    _list_server(world, old)
     known_of = learn(world, old)
     assert known_of(old)
-    _listed(world, new)
+    _list_server(world, new)
     assert not known_of(new)
 
 
-@pytest.mark.parametrize("learn", _KNOWLEDGE[:7], ids=lambda f: f.__name__)
-def test_late_news_of_the_life_before_change_nothing(world, learn):
-    old, new = _life(_BORN_MS), _life(_BORN_MS + 1)
-    _listed(world, old)
-    _listed(world, new)
+@pytest.mark.parametrize("learn", _STATE[:7], ids=lambda f: f.__name__)
+def test_late_reports_on_the_previous_incarnation_are_ignored(world, learn):
+    old, new = _incarnation(_BORN_MS), _incarnation(_BORN_MS + 1)
+    _list_server(world, old)
+    _list_server(world, new)
     known_of = learn(world, old)
     assert not known_of(new)
 
 
-@pytest.mark.parametrize("learn", _KNOWLEDGE, ids=lambda f: f.__name__)
-def test_a_life_that_goes_on_keeps_what_is_known(world, learn):
-    life = _life(_BORN_MS)
-    _listed(world, life)
-    known_of = learn(world, life)
+@pytest.mark.parametrize("learn", _STATE, ids=lambda f: f.__name__)
+def test_an_incarnation_that_continues_keeps_its_state(world, learn):
+    server = _incarnation(_BORN_MS)
+    _list_server(world, server)
+    known_of = learn(world, server)
     leaving = directory.BackendServer(
         **{
-            name: getattr(life, name)
-            for name in life.__dataclass_fields__
+            name: getattr(server, name)
+            for name in server.__dataclass_fields__
             if name != "state"
         },
         state=directory.ServerState.LEAVING,
     )
-    _listed(world, leaving)
+    _list_server(world, leaving)
     assert known_of(leaving)
 
 
@@ -170,16 +171,18 @@
 )
 def test_the_same_id_back_after_an_outage(born_ms, names):
     found = directory.Directory()
-    found.apply([directory.Change(entry_id="i-1", server=_life(_BORN_MS))])
+    found.apply(
+        [directory.Change(entry_id="i-1", server=_incarnation(_BORN_MS))]
+    )
     found.lapse([directory.Change(entry_id="i-1", server=None)], back_s=1.0)
-    again = directory.Change(entry_id="i-1", server=_life(born_ms))
+    again = directory.Change(entry_id="i-1", server=_incarnation(born_ms))
     found.lapse([again], back_s=1.0)
     assert found.expire(9.0) == ()
     assert [server.server_id for server in found.of("crew")] == names
 
 
 @pytest.mark.parametrize(
-    ("born", "life"),
+    ("born", "server_id"),
     [
         ("1786503869131", None),
         (-1, None),
@@ -189,19 +192,19 @@
         (None, "i-1"),
     ],
 )
-def test_a_start_is_a_whole_number_or_not_told(world, born, life):
+def test_a_start_time_is_an_integer_or_absent(world, born, server_id):
     entry = {**world.plain[0].entry(), "born": born}
     data = documents.msgspec.json.encode(entry)
-    if life is None:
+    if server_id is None:
         with pytest.raises(ValueError):
             documents.server("i-1", data)
         return
     found = documents.server("i-1", data)
-    assert (found.server_id, found.entry_id) == (life, "i-1")
+    assert (found.server_id, found.entry_id) == (server_id, "i-1")
 
 
 def _restart(world, old):
-    """Starts a server again under its id; the old one went dark."""
+    """Starts a new server under the id of one that became unresponsive."""
     new = server_module.Server(
         server_id=old.server_id,
         service=old.service,
@@ -221,10 +224,8 @@
 @pytest.mark.parametrize(
     ("target", "status"), [("/alarm/1", 502), ("/valve/1", 200)]
 )
-def test_requests_at_a_life_that_ended_are_not_waited_for(
-    world, target, status
-):
-    """What may run once does not run again; other requests go elsewhere."""
+def test_requests_at_a_replaced_incarnation_are_aborted(world, target, status):
+    """An at-most-once request is not sent again; others are retried."""
     for one in world.plain:
         one.born_ms = _BORN_MS
         one.always = server_module.Fault.HANG
@@ -245,7 +246,7 @@
     new.close()
 
 
-def test_a_stream_goes_on_elsewhere_when_its_servers_life_ends(world):
+def test_a_stream_resumes_elsewhere_when_its_server_restarts(world):
     for one in world.engines:
         one.born_ms = _BORN_MS
         one.always = server_module.Fault.HANG_MIDWAY
@@ -265,16 +266,16 @@
     new.close()
 
 
-def test_the_header_names_the_id_and_not_the_life(world):
+def test_the_header_has_the_entry_id_not_the_server_id(world):
     one = world.plain[0]
     for other in world.plain[1:]:
         world.store.drop("servers", other.server_id)
     one.born_ms = _BORN_MS
     world.store.put("servers", one.server_id, one.entry())
-    life = directory.life_id(one.server_id, _BORN_MS)
+    server_id = directory.life_id(one.server_id, _BORN_MS)
     world.wait(
         lambda: (
-            world.inst.directory.get(one.server_id).server_id == life
+            world.inst.directory.get(one.server_id).server_id == server_id
             and len(world.inst.directory.of("crew")) == 1
         )
     )
@@ -283,7 +284,7 @@
     assert run.headers["expect-instance"] == one.server_id
 
 
-def test_connections_in_use_are_forgotten_when_they_end(world):
+def test_connections_are_not_in_use_after_their_request(world):
     pool = world.inst.servers.connection_pool
     assert isinstance(pool, connection_pool_module.ConnectionPool)
     for number in range(3):
--- a/irisshelf/tests/test_silent_connections.py
+++ b/irisshelf/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections to servers that go silent for good, while new ones work."""
+"""Open connections to servers that stop working while new ones succeed."""
 
 import pytest
 
@@ -29,7 +29,7 @@
         return False
 
 
-def test_connections_that_rested_before_a_silence_are_closed():
+def test_connections_idle_since_before_a_silence_are_closed():
     now = clock_module.FakeClock(start_s=100.0)
     pool = connection_pool_module.ConnectionPool(now=now)
     old, new = _Conn(), _Conn()
@@ -43,24 +43,26 @@
 
 
 @pytest.mark.parametrize(("silent_s", "closed"), [(0.2, True), (9.0, False)])
-def test_a_silent_connection_takes_the_others_at_rest_with_it(
+def test_a_silent_connection_closes_idle_ones_to_the_same_server(
     world, silent_s, closed, monkeypatch
 ):
     monkeypatch.setattr(
         monitored_connection, "CONNECTION_SILENCE_LIMIT_S", silent_s
     )
-    rested = {}
+    idle_conns = {}
     for server in world.inst.directory.of("crew"):
-        rested[server.server_id] = world.connect_to(server)
+        idle_conns[server.server_id] = world.connect_to(server)
         world.inst.servers.connection_pool.add_idle(
-            server, rested[server.server_id]
+            server, idle_conns[server.server_id]
         )
-    asked = world.inst.directory.of("crew")[0]
-    world.inst.servers.connection_pool.add_idle(asked, world.connect_to(asked))
+    target = world.inst.directory.of("crew")[0]
+    world.inst.servers.connection_pool.add_idle(
+        target, world.connect_to(target)
+    )
     for one in world.plain:
         one.always = server_module.Fault.HANG
-        if one.server_id != asked.server_id:
+        if one.server_id != target.server_id:
             world.inst.servers.chooser("crew").book.lasted(one.server_id, 9.0)
     assert world.ask("/alarm/1", Deadline_Ms="900").status == 504
-    assert rested.pop(asked.server_id).is_stale() is closed
-    assert not any(conn.is_stale() for conn in rested.values())
+    assert idle_conns.pop(target.server_id).is_stale() is closed
+    assert not any(conn.is_stale() for conn in idle_conns.values())
