--- a/irisshelf/gateway/requests/attempt.py
+++ b/irisshelf/gateway/requests/attempt.py
@@ -11,8 +11,8 @@
 from irisshelf.gateway.requests import monitored_connection
 from irisshelf.routing import outcome
 from irisshelf.routing.direct import event_stream
-from irisshelf.routing.direct import server_book
 from irisshelf.routing.direct import server_choice
+from irisshelf.routing.direct import server_stats
 from irisshelf.transport import client
 from irisshelf.transport import errors
 from irisshelf.transport import server as caller_side
@@ -39,10 +39,10 @@
     def __init__(
         self,
         *,
-        seen: server_book.Seen,
+        seen: server_stats.Outcome,
         outcome: outcome.Outcome,
         detail: str,
-        response: messages.Final | None = None,
+        response: messages.CompleteAnswer | None = None,
         stale_connection: bool = False,
         disconnected: bool = False,
     ):
@@ -109,7 +109,7 @@
             server=choice.server,
             conn=conn,
             fail_over=fail_over,
-            deadline_s=job.until_s,
+            deadline_s=job.deadline_s,
         )
 
     def run(self) -> None:
@@ -120,10 +120,10 @@
                 incomplete.
         """
         server = self._choice.server
-        book = self._inst.servers.chooser(server.service).book
+        book = self._inst.servers.chooser(server.service).stats
         pool = self._inst.servers.connection_pool
         pool.mark_in_use(server, self._conn)
-        book.began(server.server_id, self._inst.now())
+        book.record_start(server.server_id, self._inst.now())
         keep_alive_s = None
         try:
             sent_s = self._inst.now()
@@ -133,7 +133,7 @@
                 self._inst.servers.reports.record_response(server, sent_s)
             self._check(head)
             head_s = self._inst.now()
-            book.lasted(server.server_id, head_s - sent_s)
+            book.record_duration(server.server_id, head_s - sent_s)
             # A stream holds a slot at the server from its first event on. The
             # time before that shows how busy the server is, not how fast.
             began_s = sent_s
@@ -143,10 +143,10 @@
             else:
                 self._relay_complete(head)
             overload = self._inst.servers.overload(server.service)
-            overload.ended(self._inst.now() - began_s)
-            book.stayed(self._inst.now() - sent_s)
+            overload.record_service_time(self._inst.now() - began_s)
+            book.record_residence_time(self._inst.now() - sent_s)
         finally:
-            book.ended(server.server_id, self._inst.now())
+            book.record_end(server.server_id, self._inst.now())
             # A connection in the middle of a response is not reusable. Closing
             # it makes the server stop working on the request.
             pool.release(server, self._conn, keep_alive_s)
@@ -154,15 +154,15 @@
     def _exchange_head(self) -> messages.AnswerHead:
         job = self._job
         source = self._choice.source
-        forwarded = messages.Send(
+        forwarded = messages.ForwardedContext(
             entry_id=self._choice.server.entry_id,
             team=job.team,
-            left_s=self._job.until_s - self._inst.now(),
+            left_s=self._job.deadline_s - self._inst.now(),
             priority=job.priority,
             cache_source=source.address if source else "",
             last_event_id=self._progress.last_event_id,
         )
-        headers = self._inst.dialect.request_headers(job.inbound, forwarded)
+        headers = self._inst.dialect.backend_request_headers(job.inbound, forwarded)
         if job.route.kind is model.RouteKind.UNSAFE:
             # It must run at most once, and a caller that disconnects does not
             # undo it: let it finish.
@@ -186,15 +186,15 @@
         try:
             while True:
                 status, raw = self._monitored.read_head(until_s)
-                head = self._inst.dialect.answer_head(status, raw)
+                head = self._inst.dialect.parse_answer(status, raw)
                 self._inst.servers.reports.handle(
-                    self._choice.server, head.report, self._job.ask.request_id
+                    self._choice.server, head.report, self._job.head.request_id
                 )
-                if head.request_id in ("", self._job.ask.request_id):
+                if head.request_id in ("", self._job.head.request_id):
                     return head
                 self._inst.log.request(
                     "stray_answer",
-                    self._job.ask.request_id,
+                    self._job.head.request_id,
                     belongs_to=head.request_id,
                 )
                 self._conn.skip_answer(timeout_s=until_s - self._inst.now())
@@ -214,27 +214,27 @@
             )
         if 200 <= head.status < 300:
             raise _unknown_outcome(
-                server_book.Seen.BROKEN,
+                server_stats.Outcome.BROKEN,
                 f"status {head.status}, but without signature or request id, "
                 "or with an encoded body",
             )
         body = self._read_body()
         raise SendError(
             seen=(
-                server_book.Seen.FAILED
+                server_stats.Outcome.FAILED
                 if head.status >= 500
-                else server_book.Seen.WELL
+                else server_stats.Outcome.SUCCESS
             ),
             outcome=outcome.Outcome.UNKNOWN,
             detail=f"error response with status {head.status}",
-            response=messages.Final(
+            response=messages.CompleteAnswer(
                 status=head.status, headers=head.headers, body=body
             ),
         )
 
     def _classify_rejection(
         self, head: messages.AnswerHead
-    ) -> server_book.Seen:
+    ) -> server_stats.Outcome:
         """Classifies a rejection by what it shows about the server.
 
         It does not count against a server that is full, asks for a backoff, or
@@ -249,8 +249,8 @@
             and head.status == _UNAVAILABLE
             and not head.report.rest_s
         ):
-            return server_book.Seen.TURNED_AWAY
-        return server_book.Seen.REFUSED
+            return server_stats.Outcome.TURNED_AWAY
+        return server_stats.Outcome.REFUSED
 
     def _read_body(self) -> bytes:
         parts = []
@@ -281,9 +281,8 @@
             if events:
                 self._send_head(head)
                 self._caller.write(b"".join(event.data for event in events))
-        if splitter.rest:
-            raise _unknown_outcome(
-                server_book.Seen.BROKEN, "response ends within an event"
+        if splitter.pending:
+            raise _unknown_outcome(server_stats.Outcome.BROKEN, "response ends within an event"
             )
         self._send_head(head)
         self._caller.end()
@@ -331,20 +330,20 @@
             connection that the server closed may then be the cause.
     """
     if isinstance(exc, errors.OutOfReachError):
-        return _unknown_outcome(server_book.Seen.UNREACHABLE, str(exc))
+        return _unknown_outcome(server_stats.Outcome.UNREACHABLE, str(exc))
     if isinstance(exc, errors.SilentError):
-        return _unknown_outcome(server_book.Seen.SILENT, str(exc))
+        return _unknown_outcome(server_stats.Outcome.SILENT, str(exc))
     stale = conn is not None and conn.rested_s >= _STALE_AFTER_IDLE_S
     return _unknown_outcome(
-        server_book.Seen.BROKEN,
+        server_stats.Outcome.BROKEN,
         str(exc),
         stale_connection=stale,
-        disconnected=True,
+        disconnected=True
     )
 
 
 def _unknown_outcome(
-    seen: server_book.Seen,
+    seen: server_stats.Outcome,
     detail: str,
     *,
     stale_connection: bool = False,
--- a/irisshelf/gateway/requests/frontend.py
+++ b/irisshelf/gateway/requests/frontend.py
@@ -55,14 +55,14 @@
         """Builds the response to a request that could not be parsed."""
         self._inst.log.request("unreadable", "", status=status, detail=text)
         self._inst.metrics.requests.labels("unknown", "unreadable").inc()
-        return self._inst.dialect.own_headers("", None), _error_body(text)
+        return self._inst.dialect.local_answer_headers("", None), _error_body(text)
 
     def handle(
         self, request: caller_side.Request, conn: caller_side.Connection
     ) -> None:
         """Handles one request."""
-        self._inst.note_sleep()
-        inbound = messages.Inbound(
+        self._inst.log_suspend()
+        inbound = messages.InboundRequest(
             method=request.method,
             target=request.target,
             headers=request.headers,
@@ -73,7 +73,7 @@
         )
         if self._inst.stopping:
             conn.close_after_answer()
-        parsed = self._inst.dialect.ask(inbound)
+        parsed = self._inst.dialect.parse_request(inbound)
         if isinstance(parsed, result.Err):
             self._reject(conn, "", _BAD_REQUEST, parsed.err_value)
             return
@@ -113,7 +113,7 @@
         self._inst.metrics.duration.labels(kind).observe(lasted_s)
         self._inst.log.request(
             "answered",
-            job.ask.request_id,
+            job.head.request_id,
             ended=ended,
             route=job.route.name,
             team=job.team,
@@ -124,18 +124,18 @@
 
     def _admit(
         self,
-        inbound: messages.Inbound,
-        ask: messages.Ask,
+        inbound: messages.InboundRequest,
+        ask: messages.RequestHead,
         conn: caller_side.Connection,
     ) -> messages.Job | None:
         """Returns the job for a request; None if it has been rejected."""
         inst = self._inst
-        if not inst.knows:
+        if not inst.configured:
             conn.close_after_answer()
             why = "no configuration yet"
             self._reject_unavailable(conn, ask, why, _RETRY_WHILE_STARTING_S)
             return None
-        if not inst.keys_hold():
+        if not inst.keys_valid():
             self._reject_without_store(conn, ask, "cut off from the store")
             return None
         catalog = inst.catalog
@@ -158,8 +158,8 @@
 
     def _job(
         self,
-        inbound: messages.Inbound,
-        ask: messages.Ask,
+        inbound: messages.InboundRequest,
+        ask: messages.RequestHead,
         version: int,
         route: model.Route,
         team: model.Team | None,
@@ -172,13 +172,13 @@
             priority = team.priority
         return messages.Job(
             inbound=inbound,
-            ask=ask,
+            head=ask,
             route=route,
             service=self._service(route, ask),
             team=team.name if team else "",
             priority=priority,
             version=version,
-            until_s=inbound.arrived_s + timeout_s,
+            deadline_s=inbound.arrived_s + timeout_s,
             regions=model.common_regions(
                 route.regions, team.regions if team else frozenset()
             ),
@@ -204,14 +204,14 @@
             return elapsed_s > _ACCEPT_STREAMS_WHILE_STOPPING_S
         return elapsed_s > self._inst.cfg.bounds.stop_s - _SHUTDOWN_RESERVE_S
 
-    def _service(self, route: model.Route, ask: messages.Ask) -> str:
+    def _service(self, route: model.Route, ask: messages.RequestHead) -> str:
         """Picks one of a route's services by weight.
 
         Requests with the same shared prompt parts go to the same service.
         """
         if len(route.split) == 1:
             return route.split[0].service
-        subject = ask.prompt.subject
+        subject = ask.prompt.affinity_key
         fraction = self._inst.rng.random()
         if subject:
             text = f"{route.name}/{subject}".encode()
@@ -227,7 +227,7 @@
     def _reject_unknown(
         self,
         conn: caller_side.Connection,
-        ask: messages.Ask,
+        ask: messages.RequestHead,
         status: int,
         why: str,
     ) -> None:
@@ -237,13 +237,13 @@
         if the configuration is known to be up to date: an instance that was
         cut off for seconds lacks keys and routes that were accepted meanwhile.
         """
-        if self._inst.may_be_out_of_date():
+        if self._inst.catalog_may_be_stale():
             self._reject_without_store(conn, ask, f"may be out of date: {why}")
             return
         self._reject(conn, ask.request_id, status, why)
 
     def _reject_without_store(
-        self, conn: caller_side.Connection, ask: messages.Ask, why: str
+        self, conn: caller_side.Connection, ask: messages.RequestHead, why: str
     ) -> None:
         """Rejects a caller that an instance with store access may serve."""
         conn.close_after_answer()
@@ -252,7 +252,7 @@
     def _reject_unavailable(
         self,
         conn: caller_side.Connection,
-        ask: messages.Ask,
+        ask: messages.RequestHead,
         why: str,
         retry_after_s: float,
     ) -> None:
@@ -304,7 +304,9 @@
             catalog_age_s=round(age_s, 3) if age_s < 1e9 else None,
             stopping=self._inst.stopping,
         )
-        headers = self._inst.dialect.own_headers(request_id, retry_after_s)
+        headers = self._inst.dialect.local_answer_headers(
+            request_id, retry_after_s
+        )
         conn.answer(status, headers, _error_body(why))
 
 
--- a/irisshelf/gateway/requests/placement.py
+++ b/irisshelf/gateway/requests/placement.py
@@ -11,7 +11,7 @@
 from irisshelf.gateway.requests import admission
 from irisshelf.gateway.requests import send_history
 from irisshelf.gateway.servers import reachability
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.routing.direct import outage
 from irisshelf.routing.direct import server_choice
 from irisshelf.transport import client
@@ -86,7 +86,7 @@
         self._replacement: Assignment | None = None
 
     def next(
-        self, verdict: suspects.Verdict | None
+        self, verdict: crash_suspects.Verdict | None
     ) -> Assignment | Rejection | None:
         """Selects a server for the next send.
 
@@ -124,7 +124,7 @@
         """
         if not self._inst.eligible.accepts(server):
             return False
-        self._inst.eligible.availability.sent(
+        self._inst.eligible.availability.record_sent(
             server.server_id, self._inst.now()
         )
         return True
@@ -197,10 +197,10 @@
         )
 
     def _remaining_s(self) -> float:
-        return self._job.until_s - self._inst.now()
+        return self._job.deadline_s - self._inst.now()
 
     def _choose_suspect(
-        self, verdict: suspects.Verdict
+        self, verdict: crash_suspects.Verdict
     ) -> server_choice.Choice | Rejection | None:
         placed = self._inst.crashes.place_suspect(
             self._job, verdict, self._sends.avoid
@@ -261,7 +261,7 @@
     ) -> server_choice.Choice | None:
         return self._chooser.choose(
             servers,
-            self._job.ask.prompt,
+            self._job.head.prompt,
             avoid=frozenset(avoid),
             now=self._inst.now(),
             sources=self._inst.eligible.sources(
@@ -290,7 +290,7 @@
             self._inst.cfg.policy.patience
             and route.repeatable
             and self._sends.count < route.max_attempts
-            and budget.left(self._inst.now()) >= 1
+            and budget.remaining(self._inst.now()) >= 1
             and not self._inst.crashes.verdict(self._job)
         )
 
@@ -352,7 +352,7 @@
             # while the caller still has time to try another instance.
             self._connects = _MAX_CONNECTS
         self._inst.servers.record_unreachable(
-            server, exc, self._job.ask.request_id
+            server, exc, self._job.head.request_id
         )
 
 
--- a/irisshelf/gateway/requests/send_history.py
+++ b/irisshelf/gateway/requests/send_history.py
@@ -33,7 +33,7 @@
         self.failed: set[str] = set()
         self.count = 0
         self.outcome = outcome.Outcome.NOT_RUN
-        self.last_response: messages.Final | None = None
+        self.last_response: messages.CompleteAnswer | None = None
         self._inst = inst
         self._job = job
         self._retry_taken = False
@@ -95,7 +95,7 @@
         """
         if not self._retry_taken:
             budget = self._inst.servers.budget(self._job.service)
-            taken = budget.take(self._inst.now())
+            taken = budget.try_take(self._inst.now())
             bounded = self._inst.cfg.policy.retry_budget
             self._retry_taken = taken or not bounded
         return self._retry_taken
--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -1,6 +1,6 @@
 """Tracks requests that crash the backend servers that process them.
 
-``routing.suspects`` makes the decisions. This module provides their input:
+``crash_suspects`` makes the decisions. This module provides their input:
 whether a server's process has exited, which requests have succeeded recently,
 and what other instances report.
 """
@@ -19,7 +19,7 @@
 from irisshelf.gateway.servers import reachability
 from irisshelf.gateway.servers import servers as servers_module
 from irisshelf.observe import decision_log
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.transport import client
 from irisshelf.transport import errors
 
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SuspectPlacement:
-    """Where a suspect request may be sent; see ``suspects.Place``."""
+    """Where a suspect request may be sent; see ``DesignatedServer``."""
 
     server: directory.BackendServer | None
     uncertain: bool
@@ -72,8 +72,10 @@
         counts: metrics.Metrics,
         now: Callable[[], float],
     ):
-        self.suspects = suspects.Suspects()
-        self.on_crash: Callable[[bytes, suspects.End], None] = _no_peers
+        self.suspects = crash_suspects.CrashSuspects()
+        self.on_crash: Callable[[bytes, crash_suspects.ServerCrash], None] = (
+            _no_peers
+        )
         self.on_clear: Callable[[bytes], None] = _no_peers
         self._servers = servers
         self._listed = listed
@@ -87,7 +89,7 @@
         self._exited_s: dict[str, float] = {}
         self._probes: dict[str, gevent.Greenlet] = {}
 
-    def verdict(self, job: messages.Job) -> suspects.Verdict | None:
+    def verdict(self, job: messages.Job) -> crash_suspects.Verdict | None:
         """Returns the verdict on a request; None if it is not suspect.
 
         While nothing is suspect, which is nearly always, this is a single
@@ -97,10 +99,13 @@
         if not self._may_be_suspect(job):
             return None
         found = self.suspects.judge(_fingerprint(job), self._now())
-        return None if found.stage is suspects.Stage.CLEAR else found
+        return None if found.stage is crash_suspects.Stage.CLEAR else found
 
     def place_suspect(
-        self, job: messages.Job, verdict: suspects.Verdict, avoid: set[str]
+        self,
+        job: messages.Job,
+        verdict: crash_suspects.Verdict,
+        avoid: set[str],
     ) -> SuspectPlacement:
         """Returns the only server that a suspect request may be sent to."""
         by_id = {
@@ -120,15 +125,15 @@
             if name in exited
             or (name not in avoid and not self._servers.is_unreachable(server))
         ]
-        keys = {end.server for end in verdict.ends}
-        found = suspects.place(
+        keys = {end.server_key for end in verdict.crashes}
+        found = crash_suspects.designate_server(
             _fingerprint(job),
             candidates,
-            ended={
+            crashed={
                 name for name in candidates if directory.key_of(name) in keys
             },
-            gone=exited,
-            ends=len(verdict.ends),
+            recently_gone=exited,
+            crash_count=len(verdict.crashes),
         )
         server = None if found.server is None else by_id[found.server]
         return SuspectPlacement(server=server, uncertain=found.uncertain)
@@ -143,12 +148,12 @@
         """
         if not self.has_exited(server) or _request_key(job) in self._succeeded:
             return False
-        end = suspects.End(
-            server=directory.key_of(server.server_id), at_s=self._now()
+        end = crash_suspects.ServerCrash(
+            server_key=directory.key_of(server.server_id), at_s=self._now()
         )
         fingerprint = _fingerprint(job)
         if self._apply_crash(
-            fingerprint, end, job.ask.request_id, server.server_id
+            fingerprint, end, job.head.request_id, server.server_id
         ):
             self.on_crash(fingerprint, end)
         return True
@@ -160,32 +165,34 @@
         if not self._may_be_suspect(job):
             return
         fingerprint = _fingerprint(job)
-        if self._clear(fingerprint, job.ask.request_id):
+        if self._clear(fingerprint, job.head.request_id):
             self.on_clear(fingerprint)
 
     def record_refusal(
-        self, job: messages.Job, verdict: suspects.Verdict
+        self, job: messages.Job, verdict: crash_suspects.Verdict
     ) -> None:
         """Records that a request is rejected for crashing servers."""
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
             "request_barred",
-            job.ask.request_id,
+            job.head.request_id,
             content=_fingerprint(job).hex(),
-            servers=[end.server.hex() for end in verdict.ends],
+            servers=[end.server_key.hex() for end in verdict.crashes],
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
-    def receive_crash(self, fingerprint: bytes, end: suspects.End) -> None:
+    def receive_crash(
+        self, fingerprint: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
         """Applies a crash that another instance reports, if confirmed here.
 
         A datagram may be forged or wrong. It counts only if this instance also
         finds that the server has exited: its entry is gone, or nothing
         listens at its address.
         """
-        server = self._servers.by_key(end.server)
+        server = self._servers.by_key(end.server_key)
         if server is None:
-            if self._servers.recently_delisted(end.server):
+            if self._servers.recently_delisted(end.server_key):
                 self._apply_reported_crash(fingerprint, end, "")
             return
         if self.has_exited(server):
@@ -195,7 +202,9 @@
         """Applies that another instance has seen the request succeed."""
         self._clear(fingerprint, "")
 
-    def merge_crash(self, fingerprint: bytes, end: suspects.End) -> None:
+    def merge_crash(
+        self, fingerprint: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
         """Adds a crash from a peer's snapshot that this instance requested."""
         self._apply_crash(fingerprint, end, "", "")
 
@@ -227,10 +236,10 @@
         if not self.suspects:
             return False
         inbound = job.inbound
-        shape = suspects.shape_of(
+        shape = crash_suspects.fingerprint_prefix(
             job.team, inbound.method, inbound.target, len(inbound.body)
         )
-        return self.suspects.has_shape(shape)
+        return self.suspects.has_prefix(shape)
 
     def _probe(self, server: directory.BackendServer) -> bool:
         try:
@@ -261,10 +270,10 @@
         return False
 
     def _apply_reported_crash(
-        self, fingerprint: bytes, end: suspects.End, name: str
+        self, fingerprint: bytes, end: crash_suspects.ServerCrash, name: str
     ) -> None:
         succeeded = any(
-            suspects.content_of(*a) == fingerprint for a in self._succeeded
+            crash_suspects.request_fingerprint(*a) == fingerprint for a in self._succeeded
         )
         if succeeded:
             self.on_clear(fingerprint)
@@ -272,9 +281,12 @@
         self._apply_crash(fingerprint, end, "", name)
 
     def _apply_crash(
-        self, fingerprint: bytes, end: suspects.End, request: str, name: str
+        self, fingerprint: bytes,
+        end: crash_suspects.ServerCrash,
+        request: str,
+        name: str,
     ) -> bool:
-        if not self.suspects.ended(fingerprint, end, self._now()):
+        if not self.suspects.record_crash(fingerprint, end, self._now()):
             return False
         verdict = self.suspects.judge(fingerprint, self._now())
         self._metrics.crashes.labels(verdict.stage.value).inc()
@@ -283,14 +295,14 @@
             content=fingerprint.hex(),
             request=request,
             server=name,
-            key=end.server.hex(),
-            ends=len(verdict.ends),
+            key=end.server_key.hex(),
+            ends=len(verdict.crashes),
             stage=verdict.stage.value,
         )
         return True
 
     def _clear(self, fingerprint: bytes, request: str) -> bool:
-        if not self.suspects.served(fingerprint):
+        if not self.suspects.record_success(fingerprint):
             return False
         self._metrics.crashes.labels("cleared").inc()
         self._log.instance(
@@ -305,7 +317,7 @@
 
 
 def _fingerprint(job: messages.Job) -> bytes:
-    return suspects.content_of(*_request_key(job))
+    return crash_suspects.request_fingerprint(*_request_key(job))
 
 
 def _no_peers(*facts: object) -> None:
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -22,8 +22,8 @@
 from irisshelf.routing import retry_budget
 from irisshelf.routing.direct import overload
 from irisshelf.routing.direct import prompt
-from irisshelf.routing.direct import server_book
 from irisshelf.routing.direct import server_choice
+from irisshelf.routing.direct import server_stats
 from irisshelf.transport import errors
 
 # How long a server is remembered after it is no longer listed.
@@ -94,8 +94,8 @@
         self._delisted_s: dict[bytes, float] = {}
         self._choosers: dict[str, server_choice.Chooser] = {}
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
-        self._overloads: dict[str, overload.Overload] = collections.defaultdict(
-            overload.Overload
+        self._overloads: dict[str, overload.AdmissionControl] = (
+            collections.defaultdict(overload.AdmissionControl)
         )
 
     def is_isolated(self, services: Iterable[str]) -> bool:
@@ -124,7 +124,7 @@
             self._choosers[service] = found
         return found
 
-    def overload(self, service: str) -> overload.Overload:
+    def overload(self, service: str) -> overload.AdmissionControl:
         """Returns the admission control of a service."""
         return self._overloads[service]
 
@@ -133,13 +133,14 @@
         found = self._budgets.get(service)
         if found is None:
             found = retry_budget.RetryBudget(
-                ratio=self.cfg.bounds.retry_share * retry_budget.SHARED_SAFETY,
+                ratio=self.cfg.bounds.retry_share
+                * retry_budget.FLEET_SAFETY_FACTOR,
                 slack=0.0,
                 window_s=self.cfg.bounds.retry_window_s,
             )
             self._budgets[service] = found
-        found.slack = retry_budget.share_of_slack(
-            self.cfg.bounds.retry_slack, self.fleet.count(self._now())
+        found.slack = retry_budget.instance_slack(
+            self.cfg.bounds.retry_slack, self.fleet.estimate(self._now())
         )
         return found
 
@@ -149,8 +150,8 @@
         """Records the load that a server reports and publishes it."""
         now = self._now()
         work = load.running + load.waiting
-        book = self.chooser(server.service).book
-        book.told(server.server_id, work=work, at_s=now)
+        book = self.chooser(server.service).stats
+        book.record_load_report(server.server_id, work=work, at_s=now)
         key = directory.key_of(server.server_id)
         self.publish(facts.ServerLoad(server=key, work=work, at_s=now))
 
@@ -159,10 +160,10 @@
     ) -> None:
         """Records the prompt parts that a server now caches; publishes them."""
         chooser = self.chooser(server.service)
-        new_parts = chooser.sent(sent, server.server_id, self._now())
+        new_parts = chooser.record_sent(sent, server.server_id, self._now())
         key = directory.key_of(server.server_id)
         for part in new_parts:
-            self.publish(facts.PartHeld(server=key, part=part))
+            self.publish(facts.PartCached(server=key, part=part))
 
     @functools.singledispatchmethod
     def apply_fact(self, fact: facts.Fact) -> None:
@@ -170,11 +171,11 @@
         raise TypeError(f"fact is {fact!r}, allowed: {facts.Fact}")
 
     @apply_fact.register
-    def _(self, fact: facts.PartHeld) -> None:
+    def _(self, fact: facts.PartCached) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
-            cache = self.chooser(server.service).holdings
-            cache.heard(fact.part, server.server_id, self._now())
+            cache = self.chooser(server.service).cache_locations
+            cache.record_from_peer(fact.part, server.server_id, self._now())
 
     @apply_fact.register
     def _(self, fact: facts.ServerCold) -> None:
@@ -183,7 +184,7 @@
         if server is not None:
             now = self._now()
             remaining_s = fact.until_s - now
-            self.eligible.cold.assume(server.server_id, remaining_s, now)
+            self.eligible.cold.assume_cold(server.server_id, remaining_s, now)
 
     @apply_fact.register
     def _(self, fact: facts.ServerPause) -> None:
@@ -191,15 +192,19 @@
         if server is not None:
             now = self._now()
             remaining_s = fact.until_s - now
-            self.eligible.availability.told(server.server_id, remaining_s, now)
+            self.eligible.availability.record_peer_pause(
+                server.server_id, remaining_s, now
+            )
             self._on_backoff(server)
 
     @apply_fact.register
     def _(self, fact: facts.ServerLoad) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
-            book = self.chooser(server.service).book
-            book.told(server.server_id, work=fact.work, at_s=fact.at_s)
+            book = self.chooser(server.service).stats
+            book.record_load_report(
+                server.server_id, work=fact.work, at_s=fact.at_s
+            )
 
     def publish_cold(self, changes: Iterable[directory.Change]) -> None:
         """Publishes which servers the store lists as cold."""
@@ -224,12 +229,12 @@
         }
         self._note_delisted(before.keys() - self._by_key.keys())
         for chooser in self._choosers.values():
-            chooser.book.keep(names)
-            chooser.full_loads.keep(names)
+            chooser.stats.retain(names)
+            chooser.load_limits.retain(names)
         self.connection_pool.retain(names)
         self.prober.retain(names)
-        self.eligible.cold.keep(names)
-        self.eligible.availability.keep(names, self._now())
+        self.eligible.cold.retain(names)
+        self.eligible.availability.retain(names, self._now())
         for name in self._exited_s.keys() - names:
             del self._exited_s[name]
         self._abort_replaced(servers)
@@ -263,8 +268,8 @@
 
     def record_activity(self, server: directory.BackendServer) -> None:
         """Records that data has arrived from a server."""
-        book = self.chooser(server.service).book
-        book.heard(server.server_id, self._now())
+        book = self.chooser(server.service).stats
+        book.record_received(server.server_id, self._now())
 
     def exited_for_s(self, server: directory.BackendServer) -> float:
         """Returns how long ago a server's process was found to have exited.
@@ -276,7 +281,9 @@
 
     def is_unreachable(self, server: directory.BackendServer) -> bool:
         """Returns whether the last attempt to reach a server failed."""
-        return self.chooser(server.service).book.unreachable(server.server_id)
+        return self.chooser(server.service).stats.is_unreachable(
+            server.server_id
+        )
 
     def record_unreachable(
         self,
@@ -285,7 +292,7 @@
         request: str,
     ) -> None:
         """Records a failed connection attempt and starts probing."""
-        outcome = server_book.Seen.UNREACHABLE
+        outcome = server_stats.Outcome.UNREACHABLE
         self.record_observation(server, outcome, request, str(exc))
         if not exc.silent:
             self._exited_s.setdefault(server.server_id, self._now())
@@ -311,10 +318,12 @@
 
     def _on_backoff(self, server: directory.BackendServer) -> None:
         chooser = self.chooser(server.service)
-        chooser.full_loads.rests(server.server_id, self._now())
+        chooser.load_limits.record_backoff(server.server_id, self._now())
 
     def _last_activity_s(self, server: directory.BackendServer) -> float:
-        return self.chooser(server.service).book.heard_s(server.server_id)
+        return self.chooser(server.service).stats.last_received_s(
+            server.server_id
+        )
 
     def _on_reached(self, server: directory.BackendServer) -> None:
         self._metrics.connects.labels(server.service).inc()
@@ -329,8 +338,8 @@
             # The process has restarted; its new entry follows a little later.
             del self._exited_s[server.server_id]
             self.eligible.assume_cold(server)
-        book = self.chooser(server.service).book
-        book.reached(server.server_id, self._now())
+        book = self.chooser(server.service).stats
+        book.record_connect(server.server_id, self._now())
 
     def _on_unreachable(
         self, server: directory.BackendServer, exc: errors.ConnectError
@@ -340,14 +349,14 @@
     def record_observation(
         self,
         server: directory.BackendServer,
-        outcome: server_book.Seen,
+        outcome: server_stats.Outcome,
         request: str,
         detail: str = "",
     ) -> None:
         """Records what a request showed about a server."""
-        book = self.chooser(server.service).book
-        why = book.seen(server.server_id, outcome, self._now())
-        if outcome is not server_book.Seen.WELL:
+        book = self.chooser(server.service).stats
+        why = book.record_outcome(server.server_id, outcome, self._now())
+        if outcome is not server_stats.Outcome.SUCCESS:
             self._metrics.failures.labels(outcome.value).inc()
         if why:
             self._metrics.rests.labels(server.service).inc()
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -9,12 +9,12 @@
 from irisshelf.platform.stand_in import entry as entry_module
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.routing.direct import policy
 
 Fault = server_module.Fault
 _BODY = b"the one"
-_CONTENT = suspects.content_of("blue", "POST", "/alarm/1", _BODY)
+_CONTENT = crash_suspects.request_fingerprint("blue", "POST", "/alarm/1", _BODY)
 
 
 @pytest.fixture
@@ -56,7 +56,7 @@
     world = make_world(servers=8, data_centres=("a", "b", "b", "b", "b", "b"))
     first, *others = world.entries
     for other in others[1:]:
-        first.roster.left(other.member.name)
+        first.roster.remove(other.member.name)
     _end_under(world, 1)
     world.wait(lambda: _stages(world) == ["suspect"] * 6)
 
@@ -163,24 +163,26 @@
     for one in fleet.plain[:ended]:
         one.close()
     for one in fleet.plain[:5]:
-        end = suspects.End(
-            server=directory.key_of(one.server_id),
+        end = crash_suspects.ServerCrash(
+            server_key=directory.key_of(one.server_id),
             at_s=boottime.now(),
         )
         fleet.inst.crashes.receive_crash(_CONTENT, end)
-    stranger = suspects.End(server=b"stray", at_s=boottime.now())
+    stranger = crash_suspects.ServerCrash(
+        server_key=b"stray", at_s=boottime.now()
+    )
     fleet.inst.crashes.receive_crash(_CONTENT, stranger)
     now = boottime.now()
     verdict = fleet.inst.crashes.suspects.judge(_CONTENT, now)
-    assert len(verdict.ends) == ended
+    assert len(verdict.crashes) == ended
 
 
 def test_an_end_of_a_server_that_has_left_the_list_counts(fleet):
     gone = fleet.plain[0]
     fleet.store.drop("servers", gone.server_id)
     fleet.wait(lambda: len(fleet.inst.directory.of("crew")) == 7)
-    end = suspects.End(
-        server=directory.key_of(gone.server_id), at_s=boottime.now()
+    end = crash_suspects.ServerCrash(
+        server_key=directory.key_of(gone.server_id), at_s=boottime.now()
     )
     fleet.inst.crashes.receive_crash(_CONTENT, end)
     assert _stages(fleet)[0] == "suspect"
@@ -193,10 +195,10 @@
         data_centre="a",
         store=fleet.store.address,
         bounds=settings.Bounds(),
-        switched=policy.ALL_ON,
+        switched=policy.DEFAULT,
     )
     fleet.wait(lambda: _stages(fleet) == ["barred"] * 4)
-    answers = [None, fleet.entries[1].crash_gossip.all()]
+    answers = [None, fleet.entries[1].crash_gossip.snapshot()]
     fresh.crash_gossip.catch_up(lambda: answers.pop(0))
     fleet.entries.append(fresh)
     assert _stages(fleet) == ["barred"] * 5
--- a/irisshelf/tests/test_crashing_requests.py
+++ b/irisshelf/tests/test_crashing_requests.py
@@ -12,7 +12,7 @@
 import pytest
 
 from irisshelf import boottime
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 
 # Limit on servers that a request may crash before all instances bar it.
 _MAX_CRASHES = 3
@@ -99,10 +99,10 @@
 def _next_server(world, crashed):
     """Returns the server that the only suspect request is sent to next."""
     group = world.engines if crashed[0] in world.engines else world.plain
-    (content,) = world.inst.crashes.suspects.all(boottime.now())
+    (content,) = world.inst.crashes.suspects.snapshot(boottime.now())
     by_id = {one.server_id: one for one in group}
     names = [one.server_id for one in group if one not in crashed]
-    return by_id[suspects.place(content, names).server]
+    return by_id[crash_suspects.designate_server(content, names).server]
 
 
 @pytest.mark.parametrize("target", _KINDS)
--- a/irisshelf/tests/test_draining_and_backoff.py
+++ b/irisshelf/tests/test_draining_and_backoff.py
@@ -260,7 +260,7 @@
     def limits():
         listed = _listed(world, one)
         return [
-            entry.inst.servers.chooser(listed.service).full_loads.limit(
+            entry.inst.servers.chooser(listed.service).load_limits.limit(
                 listed.server_id, listed.slots, boottime.now()
             )
             for entry in world.entries
@@ -300,7 +300,7 @@
                     if server.address == address:
                         drained.append(server.server_id)
                         availability = world.inst.eligible.availability
-                        availability.leaves(server.server_id)
+                        availability.mark_leaving(server.server_id)
             return conn
 
         monkeypatch.setattr(placement.client, "connect", connect_slowly)
--- a/irisshelf/tests/test_gateway_faults.py
+++ b/irisshelf/tests/test_gateway_faults.py
@@ -5,7 +5,7 @@
 
 from irisshelf.platform.stand_in import server
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing.direct import server_book
+from irisshelf.routing.direct import server_stats
 
 Fault = server.Fault
 _ALL_EVENTS = b"".join(
@@ -240,8 +240,8 @@
     """Failing over to an unreachable server would only lose the response."""
     busy, lost = world.plain
     busy.always = Fault.SLOW
-    world.inst.servers.chooser("crew").book.seen(
-        lost.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+    world.inst.servers.chooser("crew").stats.record_outcome(
+        lost.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
     )
     lost.close()
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
@@ -252,8 +252,8 @@
     for _ in range(4):
         world.ask("/valve/1", method="GET", body=b"")
     for one in world.plain:
-        world.inst.servers.chooser("crew").book.seen(
-            one.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+        world.inst.servers.chooser("crew").stats.record_outcome(
+            one.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
         )
         one.close()
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
@@ -264,8 +264,8 @@
 def test_an_instance_that_reaches_no_server_is_not_ready(world, lost):
     servers = [*world.plain, *world.engines]
     for one in servers if lost == "all" else servers[1:]:
-        world.inst.servers.chooser(one.service).book.seen(
-            one.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+        world.inst.servers.chooser(one.service).stats.record_outcome(
+            one.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
         )
         one.close()
     assert world.inst.ready is (lost == "some")
@@ -277,8 +277,8 @@
 def test_only_one_unreachable_server_is_tried_as_last_resort(monkeypatch):
     world = world_module.World(servers=4)
     for one in world.plain:
-        world.inst.servers.chooser("crew").book.seen(
-            one.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+        world.inst.servers.chooser("crew").stats.record_outcome(
+            one.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
         )
         one.close()
     tried = []
@@ -300,8 +300,8 @@
 def test_the_only_healthy_server_is_retried(world):
     only, lost = world.plain
     only.faults.append(Fault.FAIL)
-    world.inst.servers.chooser("crew").book.seen(
-        lost.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+    world.inst.servers.chooser("crew").stats.record_outcome(
+        lost.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
     )
     lost.close()
     answer = world.ask("/valve/1", method="GET", body=b"", Request_Id="v")
@@ -312,10 +312,10 @@
     world.inst.servers.instances = 10
     budget = world.inst.servers.budget("crew")
     for _ in range(100):
-        budget.arrived(world.inst.now())
+        budget.record_request(world.inst.now())
     bounds = world.inst.cfg.bounds
     whole = bounds.retry_share * 100 + bounds.retry_slack / 10
-    left = budget.left(world.inst.now())
+    left = budget.remaining(world.inst.now())
     assert 0.5 * whole < left < 0.9 * whole
 
 
--- a/irisshelf/tests/test_server_restarts.py
+++ b/irisshelf/tests/test_server_restarts.py
@@ -19,7 +19,7 @@
 from irisshelf.platform import documents
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.routing.direct import prompt
-from irisshelf.routing.direct import server_book
+from irisshelf.routing.direct import server_stats
 
 _BORN_MS = 1_786_503_869_131
 _PROMPT = prompt.Prompt(
@@ -47,11 +47,11 @@
     world.inst.directory.apply(
         [directory.Change(entry_id=server.entry_id, server=server)]
     )
-    world.inst.server_list_taken()
+    world.inst.server_list_loaded()
 
 
 def _book(world):
-    return world.inst.servers.chooser("crew").book
+    return world.inst.servers.chooser("crew").stats
 
 
 def _load(world, server):
@@ -69,20 +69,22 @@
 
 def _ejection(world, server):
     for _ in range(4):
-        seen = server_book.Seen.BROKEN
+        seen = server_stats.Outcome.BROKEN
         world.inst.servers.record_observation(server, seen, "r1")
-    return lambda of: not _book(world).fit(of.server_id, world.inst.now())
+    return lambda of: (
+        not _book(world).is_available(of.server_id, world.inst.now())
+    )
 
 
 def _unreachable(world, server):
-    _book(world).seen(
-        server.server_id, server_book.Seen.UNREACHABLE, world.inst.now()
+    _book(world).record_outcome(
+        server.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
     )
     return world.inst.servers.is_unreachable
 
 
 def _duration(world, server):
-    _book(world).lasted(server.server_id, 3.0)
+    _book(world).record_duration(server.server_id, 3.0)
     return lambda of: _book(world).duration_s(of.server_id) > 0
 
 
@@ -94,14 +96,14 @@
 def _cached_prompt_from_peers(world, server):
     key = directory.key_of(server.server_id)
     chooser = world.inst.servers.chooser("crew")
-    for part in chooser.sent(_PROMPT, "another", world.inst.now()):
-        world.inst.servers.apply_fact(facts.PartHeld(server=key, part=part))
+    for part in chooser.record_sent(_PROMPT, "another", world.inst.now()):
+        world.inst.servers.apply_fact(facts.PartCached(server=key, part=part))
     return lambda of: _has_cached_prompt(world, of)
 
 
 def _has_cached_prompt(world, server):
-    held = world.inst.servers.chooser("crew").holdings
-    return any(server.server_id in servers for servers in held._held.values())
+    held = world.inst.servers.chooser("crew").cache_locations
+    return any(server.server_id in servers for servers in held._entries.values())
 
 
 def _idle_connection(world, server):
--- a/irisshelf/tests/test_silent_connections.py
+++ b/irisshelf/tests/test_silent_connections.py
@@ -62,7 +62,9 @@
     for one in world.plain:
         one.always = server_module.Fault.HANG
         if one.server_id != target.server_id:
-            world.inst.servers.chooser("crew").book.lasted(one.server_id, 9.0)
+            world.inst.servers.chooser("crew").stats.record_duration(
+                one.server_id, 9.0
+            )
     assert world.ask("/alarm/1", Deadline_Ms="900").status == 504
     assert idle_conns.pop(target.server_id).is_stale() is closed
     assert not any(conn.is_stale() for conn in idle_conns.values())
--- a/irisshelf/tests/test_store_outage.py
+++ b/irisshelf/tests/test_store_outage.py
@@ -26,16 +26,16 @@
 
     def __init__(self, role):
         self._role = role
-        self.told = []
+        self.broadcasts = []
 
-    def subscribe(self, taker):
-        self.take = taker
+    def subscribe(self, handler):
+        self.deliver = handler
 
     def role(self):
         return self._role
 
-    def tell(self, update):
-        self.told.append(update)
+    def broadcast(self, update):
+        self.broadcasts.append(update)
 
 
 @pytest.fixture
@@ -49,7 +49,7 @@
 def _take_role(world, role):
     updates = _Updates(role)
     world.follower._updates = updates
-    updates.subscribe(world.follower.take_update)
+    updates.subscribe(world.follower.apply_update)
     return updates
 
 
@@ -63,7 +63,7 @@
 def test_callers_return_late_only_where_others_are_cut_off_too(short, role):
     _take_role(short, role)
     short.store.mode = store.Mode.BUSY
-    short.wait(lambda: not short.inst.keys_hold())
+    short.wait(lambda: not short.inst.keys_valid())
     # Time enough that the watch of a reader has been silent.
     short.wait(lambda: short.inst.freshness.age_s(boottime.now()) > 1.0)
     told_s = _refused(short)
@@ -93,8 +93,8 @@
             version=9,
             position=position.Position(era=0, revision=99),
         )
-        updates.take(update)
-        return not short.inst.keys_hold()
+        updates.deliver(update)
+        return not short.inst.keys_valid()
 
     short.wait(told_of_more)
     assert _refused(short) <= 0.2
