--- a/irisshelf/gateway/requests/admission.py
+++ b/irisshelf/gateway/requests/admission.py
@@ -29,7 +29,7 @@
     """
     if not inst.cfg.policy.admission:
         return None
-    service = inst.servers.overload(job.service)
+    control = inst.servers.overload(job.service)
     now = inst.now()
     arrival = overload.Arrival(
         priority=job.priority,
@@ -37,8 +37,8 @@
         objective_s=job.route.target_s,
         remaining_s=job.deadline_s - now,
     )
-    wait_s = service.estimated_wait_s(choice.load, choice.server.slots)
-    refusal = service.admit(arrival, wait_s, now, full=choice.full)
+    wait_s = control.estimated_wait_s(choice.load, choice.server.slots)
+    refusal = control.admit(arrival, wait_s, now, full=choice.full)
     if refusal is not None:
         _log(inst, job, choice, refusal)
     return refusal
@@ -52,11 +52,11 @@
     It is short if the server had free slots as far as is known: the rejection
     is then not due to load, and a retry may reach another server.
     """
-    service = inst.servers.overload(choice.server.service)
-    wait_s = service.estimated_wait_s(choice.load, choice.server.slots)
+    control = inst.servers.overload(choice.server.service)
+    wait_s = control.estimated_wait_s(choice.load, choice.server.slots)
     if not wait_s:
         return RETRY_SOON_S
-    return service.retry_after_s(wait_s, inst.now())
+    return control.retry_after_s(wait_s, inst.now())
 
 
 def _log(
--- a/irisshelf/gateway/requests/attempt.py
+++ b/irisshelf/gateway/requests/attempt.py
@@ -27,8 +27,8 @@
     """A failed send.
 
     Args:
-        seen: What the failure shows about the server.
-        outcome: Whether the request may have run.
+        server_outcome: What the failure shows about the server.
+        request_outcome: Whether the request may have run.
         detail: Description for people.
         response: The server's own error response, if it was complete.
         stale_connection: Whether an idle connection that the server had closed
@@ -39,16 +39,16 @@
     def __init__(
         self,
         *,
-        seen: server_stats.Outcome,
-        outcome: outcome.Outcome,
+        server_outcome: server_stats.Outcome,
+        request_outcome: outcome.Outcome,
         detail: str,
         response: messages.CompleteAnswer | None = None,
         stale_connection: bool = False,
         disconnected: bool = False,
     ):
         super().__init__(detail)
-        self.seen = seen
-        self.outcome = outcome
+        self.server_outcome = server_outcome
+        self.request_outcome = request_outcome
         self.response = response
         self.stale_connection = stale_connection
         self.disconnected = disconnected
@@ -120,10 +120,10 @@
                 incomplete.
         """
         server = self._choice.server
-        book = self._inst.servers.chooser(server.service).stats
+        stats = self._inst.servers.chooser(server.service).stats
         pool = self._inst.servers.connection_pool
         pool.mark_in_use(server, self._conn)
-        book.record_start(server.server_id, self._inst.now())
+        stats.record_start(server.server_id, self._inst.now())
         keep_alive_s = None
         try:
             sent_s = self._inst.now()
@@ -133,7 +133,7 @@
                 self._inst.servers.reports.record_response(server, sent_s)
             self._check(head)
             head_s = self._inst.now()
-            book.record_duration(server.server_id, head_s - sent_s)
+            stats.record_duration(server.server_id, head_s - sent_s)
             # A stream holds a slot at the server from its first event on. The
             # time before that shows how busy the server is, not how fast.
             began_s = sent_s
@@ -144,9 +144,9 @@
                 self._relay_complete(head)
             overload = self._inst.servers.overload(server.service)
             overload.record_service_time(self._inst.now() - began_s)
-            book.record_residence_time(self._inst.now() - sent_s)
+            stats.record_residence_time(self._inst.now() - sent_s)
         finally:
-            book.record_end(server.server_id, self._inst.now())
+            stats.record_end(server.server_id, self._inst.now())
             # A connection in the middle of a response is not reusable. Closing
             # it makes the server stop working on the request.
             pool.release(server, self._conn, keep_alive_s)
@@ -162,7 +162,9 @@
             cache_source=source.address if source else "",
             last_event_id=self._progress.last_event_id,
         )
-        headers = self._inst.dialect.backend_request_headers(job.inbound, forwarded)
+        headers = self._inst.dialect.backend_request_headers(
+            job.inbound, forwarded
+        )
         if job.route.kind is model.RouteKind.UNSAFE:
             # It must run at most once, and a caller that disconnects does not
             # undo it: let it finish.
@@ -208,8 +210,8 @@
         if head.not_run:
             self._read_body()
             raise SendError(
-                seen=self._classify_rejection(head),
-                outcome=outcome.Outcome.NOT_RUN,
+                server_outcome=self._classify_rejection(head),
+                request_outcome=outcome.Outcome.NOT_RUN,
                 detail=f"rejected with status {head.status}",
             )
         if 200 <= head.status < 300:
@@ -220,12 +222,12 @@
             )
         body = self._read_body()
         raise SendError(
-            seen=(
+            server_outcome=(
                 server_stats.Outcome.FAILED
                 if head.status >= 500
                 else server_stats.Outcome.SUCCESS
             ),
-            outcome=outcome.Outcome.UNKNOWN,
+            request_outcome=outcome.Outcome.UNKNOWN,
             detail=f"error response with status {head.status}",
             response=messages.CompleteAnswer(
                 status=head.status, headers=head.headers, body=body
@@ -282,7 +284,8 @@
                 self._send_head(head)
                 self._caller.write(b"".join(event.data for event in events))
         if splitter.pending:
-            raise _unknown_outcome(server_stats.Outcome.BROKEN, "response ends within an event"
+            raise _unknown_outcome(
+                server_stats.Outcome.BROKEN, "response ends within an event"
             )
         self._send_head(head)
         self._caller.end()
@@ -338,20 +341,20 @@
         server_stats.Outcome.BROKEN,
         str(exc),
         stale_connection=stale,
-        disconnected=True
+        disconnected=True,
     )
 
 
 def _unknown_outcome(
-    seen: server_stats.Outcome,
+    server_outcome: server_stats.Outcome,
     detail: str,
     *,
     stale_connection: bool = False,
     disconnected: bool = False,
 ) -> SendError:
     return SendError(
-        seen=seen,
-        outcome=outcome.Outcome.UNKNOWN,
+        server_outcome=server_outcome,
+        request_outcome=outcome.Outcome.UNKNOWN,
         detail=detail,
         stale_connection=stale_connection,
         disconnected=disconnected,
--- a/irisshelf/gateway/requests/frontend.py
+++ b/irisshelf/gateway/requests/frontend.py
@@ -55,7 +55,9 @@
         """Builds the response to a request that could not be parsed."""
         self._inst.log.request("unreadable", "", status=status, detail=text)
         self._inst.metrics.requests.labels("unknown", "unreadable").inc()
-        return self._inst.dialect.local_answer_headers("", None), _error_body(text)
+        return self._inst.dialect.local_answer_headers("", None), _error_body(
+            text
+        )
 
     def handle(
         self, request: caller_side.Request, conn: caller_side.Connection
@@ -125,7 +127,7 @@
     def _admit(
         self,
         inbound: messages.InboundRequest,
-        ask: messages.RequestHead,
+        head: messages.RequestHead,
         conn: caller_side.Connection,
     ) -> messages.Job | None:
         """Returns the job for a request; None if it has been rejected."""
@@ -133,48 +135,48 @@
         if not inst.configured:
             conn.close_after_answer()
             why = "no configuration yet"
-            self._reject_unavailable(conn, ask, why, _RETRY_WHILE_STARTING_S)
+            self._reject_unavailable(conn, head, why, _RETRY_WHILE_STARTING_S)
             return None
         if not inst.keys_valid():
-            self._reject_without_store(conn, ask, "cut off from the store")
+            self._reject_without_store(conn, head, "cut off from the store")
             return None
         catalog = inst.catalog
-        route = catalog.route(ask.host, ask.path)
+        route = catalog.route(head.host, head.path)
         if route is None or not route.split:
-            text = f"no route for {ask.host!r} and {ask.path!r}"
-            self._reject_unknown(conn, ask, _UNKNOWN_ROUTE, text)
+            text = f"no route for {head.host!r} and {head.path!r}"
+            self._reject_unknown(conn, head, _UNKNOWN_ROUTE, text)
             return None
-        team = catalog.team(ask.key)
+        team = catalog.team(head.key)
         needs_key = bool(catalog.teams) and not route.public
         if needs_key and team is None:
             text = "key is not known"
-            self._reject_unknown(conn, ask, _UNKNOWN_KEY, text)
+            self._reject_unknown(conn, head, _UNKNOWN_KEY, text)
             return None
         why = self._why_busy(route, inbound.arrived_s)
         if why:
-            self._reject_unavailable(conn, ask, why, admission.RETRY_SOON_S)
+            self._reject_unavailable(conn, head, why, admission.RETRY_SOON_S)
             return None
-        return self._job(inbound, ask, catalog.version, route, team)
+        return self._job(inbound, head, catalog.version, route, team)
 
     def _job(
         self,
         inbound: messages.InboundRequest,
-        ask: messages.RequestHead,
+        head: messages.RequestHead,
         version: int,
         route: model.Route,
         team: model.Team | None,
     ) -> messages.Job:
         timeout_s = route.timeout_s
-        if ask.deadline_s is not None:
-            timeout_s = min(timeout_s, ask.deadline_s)
+        if head.deadline_s is not None:
+            timeout_s = min(timeout_s, head.deadline_s)
         priority = route.priority
         if team is not None and team.priority is not None:
             priority = team.priority
         return messages.Job(
             inbound=inbound,
-            head=ask,
+            head=head,
             route=route,
-            service=self._service(route, ask),
+            service=self._service(route, head),
             team=team.name if team else "",
             priority=priority,
             version=version,
@@ -204,17 +206,17 @@
             return elapsed_s > _ACCEPT_STREAMS_WHILE_STOPPING_S
         return elapsed_s > self._inst.cfg.bounds.stop_s - _SHUTDOWN_RESERVE_S
 
-    def _service(self, route: model.Route, ask: messages.RequestHead) -> str:
+    def _service(self, route: model.Route, head: messages.RequestHead) -> str:
         """Picks one of a route's services by weight.
 
         Requests with the same shared prompt parts go to the same service.
         """
         if len(route.split) == 1:
             return route.split[0].service
-        subject = ask.prompt.affinity_key
+        affinity_key = head.prompt.affinity_key
         fraction = self._inst.rng.random()
-        if subject:
-            text = f"{route.name}/{subject}".encode()
+        if affinity_key:
+            text = f"{route.name}/{affinity_key}".encode()
             digest = hashlib.blake2b(text, digest_size=8).digest()
             fraction = int.from_bytes(digest) / 2**64
         offset = fraction * sum(split.weight for split in route.split)
@@ -227,7 +229,7 @@
     def _reject_unknown(
         self,
         conn: caller_side.Connection,
-        ask: messages.RequestHead,
+        head: messages.RequestHead,
         status: int,
         why: str,
     ) -> None:
@@ -238,27 +240,27 @@
         cut off for seconds lacks keys and routes that were accepted meanwhile.
         """
         if self._inst.catalog_may_be_stale():
-            self._reject_without_store(conn, ask, f"may be out of date: {why}")
+            self._reject_without_store(conn, head, f"may be out of date: {why}")
             return
-        self._reject(conn, ask.request_id, status, why)
+        self._reject(conn, head.request_id, status, why)
 
     def _reject_without_store(
-        self, conn: caller_side.Connection, ask: messages.RequestHead, why: str
+        self, conn: caller_side.Connection, head: messages.RequestHead, why: str
     ) -> None:
         """Rejects a caller that an instance with store access may serve."""
         conn.close_after_answer()
-        self._reject_unavailable(conn, ask, why, self._retry_without_store_s())
+        self._reject_unavailable(conn, head, why, self._retry_without_store_s())
 
     def _reject_unavailable(
         self,
         conn: caller_side.Connection,
-        ask: messages.RequestHead,
+        head: messages.RequestHead,
         why: str,
         retry_after_s: float,
     ) -> None:
         """Rejects a request that has not run, and asks the caller to retry."""
         self._send_rejection(
-            conn, ask.request_id, _UNAVAILABLE, why, retry_after_s
+            conn, head.request_id, _UNAVAILABLE, why, retry_after_s
         )
 
     def _retry_without_store_s(self) -> float:
--- a/irisshelf/gateway/requests/placement.py
+++ b/irisshelf/gateway/requests/placement.py
@@ -239,18 +239,18 @@
     def _choose_among(
         self, servers: Sequence[directory.BackendServer], avoid: set[str]
     ) -> server_choice.Choice | None:
-        known = self._inst.eligible
-        warm, cold = known.split(self._job.service, servers)
+        eligible = self._inst.eligible
+        warm, cold = eligible.split(self._job.service, servers)
         service = self._job.service
-        idle = (*known.evacuated(service), *known.paused(service))
+        idle = (*eligible.evacuated(service), *eligible.paused(service))
         choice = self._choose_from(warm, avoid, [*idle, *cold])
         if not cold or not _is_saturated(choice):
             return choice
-        ready = [s for s in cold if not known.cold_wait_s(s)]
+        ready = [s for s in cold if not eligible.cold_wait_s(s)]
         other = self._choose_from(ready, avoid, [*idle, *warm])
         if other is None or other.reason is server_choice.Reason.LAST_RESORT:
             return choice
-        known.record_sent_to_cold(other.server)
+        eligible.record_sent_to_cold(other.server)
         return other
 
     def _choose_from(
--- a/irisshelf/gateway/requests/request_handler.py
+++ b/irisshelf/gateway/requests/request_handler.py
@@ -151,8 +151,8 @@
             and self._inst.crashes.record_disconnect(self._job, server)
         )
         if not exc.stale_connection:
-            self._record_observation(server, exc.seen, str(exc))
-        if exc.outcome is outcome.Outcome.NOT_RUN:
+            self._record_observation(server, exc.server_outcome, str(exc))
+        if exc.request_outcome is outcome.Outcome.NOT_RUN:
             self._retry_after_s = admission.retry_after_s(self._inst, choice)
         self._sends.record_failure(server, exc)
         stop = self._sends.stop_reason(
@@ -162,8 +162,8 @@
             "send_failed",
             self._job.head.request_id,
             server=server.server_id,
-            cause=exc.seen.value,
-            outcome=exc.outcome.value,
+            cause=exc.server_outcome.value,
+            outcome=exc.request_outcome.value,
             detail=str(exc),
             events=self._progress.events,
             sends=self._sends.count,
--- a/irisshelf/gateway/requests/send_history.py
+++ b/irisshelf/gateway/requests/send_history.py
@@ -44,7 +44,7 @@
         """Records a failed send."""
         if not exc.stale_connection:
             self.avoid.add(server.server_id)
-        if exc.outcome is outcome.Outcome.UNKNOWN:
+        if exc.request_outcome is outcome.Outcome.UNKNOWN:
             self.outcome = outcome.Outcome.UNKNOWN
         if exc.response is not None:
             self.last_response = exc.response
--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -1,6 +1,6 @@
 """Tracks requests that crash the backend servers that process them.
 
-``crash_suspects`` makes the decisions. This module provides their input:
+``routing.crash_suspects`` makes the decisions. This module provides the input:
 whether a server's process has exited, which requests have succeeded recently,
 and what other instances report.
 """
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SuspectPlacement:
-    """Where a suspect request may be sent; see ``DesignatedServer``."""
+    """Where a suspect may be sent; see ``crash_suspects.DesignatedServer``."""
 
     server: directory.BackendServer | None
     uncertain: bool
@@ -74,9 +74,9 @@
     ):
         self.suspects = crash_suspects.CrashSuspects()
         self.on_crash: Callable[[bytes, crash_suspects.ServerCrash], None] = (
-            _no_peers
+            _discard
         )
-        self.on_clear: Callable[[bytes], None] = _no_peers
+        self.on_clear: Callable[[bytes], None] = _discard
         self._servers = servers
         self._listed = listed
         self._log = log
@@ -125,7 +125,7 @@
             if name in exited
             or (name not in avoid and not self._servers.is_unreachable(server))
         ]
-        keys = {end.server_key for end in verdict.crashes}
+        keys = {crash.server_key for crash in verdict.crashes}
         found = crash_suspects.designate_server(
             _fingerprint(job),
             candidates,
@@ -148,14 +148,14 @@
         """
         if not self.has_exited(server) or _request_key(job) in self._succeeded:
             return False
-        end = crash_suspects.ServerCrash(
+        crash = crash_suspects.ServerCrash(
             server_key=directory.key_of(server.server_id), at_s=self._now()
         )
         fingerprint = _fingerprint(job)
         if self._apply_crash(
-            fingerprint, end, job.head.request_id, server.server_id
+            fingerprint, crash, job.head.request_id, server.server_id
         ):
-            self.on_crash(fingerprint, end)
+            self.on_crash(fingerprint, crash)
         return True
 
     def record_success(self, job: messages.Job) -> None:
@@ -177,12 +177,12 @@
             "request_barred",
             job.head.request_id,
             content=_fingerprint(job).hex(),
-            servers=[end.server_key.hex() for end in verdict.crashes],
+            servers=[crash.server_key.hex() for crash in verdict.crashes],
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
     def receive_crash(
-        self, fingerprint: bytes, end: crash_suspects.ServerCrash
+        self, fingerprint: bytes, crash: crash_suspects.ServerCrash
     ) -> None:
         """Applies a crash that another instance reports, if confirmed here.
 
@@ -190,23 +190,23 @@
         finds that the server has exited: its entry is gone, or nothing
         listens at its address.
         """
-        server = self._servers.by_key(end.server_key)
+        server = self._servers.by_key(crash.server_key)
         if server is None:
-            if self._servers.recently_delisted(end.server_key):
-                self._apply_reported_crash(fingerprint, end, "")
+            if self._servers.recently_delisted(crash.server_key):
+                self._apply_reported_crash(fingerprint, crash, "")
             return
         if self.has_exited(server):
-            self._apply_reported_crash(fingerprint, end, server.server_id)
+            self._apply_reported_crash(fingerprint, crash, server.server_id)
 
     def receive_clear(self, fingerprint: bytes) -> None:
         """Applies that another instance has seen the request succeed."""
         self._clear(fingerprint, "")
 
     def merge_crash(
-        self, fingerprint: bytes, end: crash_suspects.ServerCrash
+        self, fingerprint: bytes, crash: crash_suspects.ServerCrash
     ) -> None:
         """Adds a crash from a peer's snapshot that this instance requested."""
-        self._apply_crash(fingerprint, end, "", "")
+        self._apply_crash(fingerprint, crash, "", "")
 
     def has_exited(self, server: directory.BackendServer) -> bool:
         """Returns whether a listed server's process has exited.
@@ -236,10 +236,10 @@
         if not self.suspects:
             return False
         inbound = job.inbound
-        shape = crash_suspects.fingerprint_prefix(
+        prefix = crash_suspects.fingerprint_prefix(
             job.team, inbound.method, inbound.target, len(inbound.body)
         )
-        return self.suspects.has_prefix(shape)
+        return self.suspects.has_prefix(prefix)
 
     def _probe(self, server: directory.BackendServer) -> bool:
         try:
@@ -270,23 +270,25 @@
         return False
 
     def _apply_reported_crash(
-        self, fingerprint: bytes, end: crash_suspects.ServerCrash, name: str
+        self, fingerprint: bytes, crash: crash_suspects.ServerCrash, name: str
     ) -> None:
         succeeded = any(
-            crash_suspects.request_fingerprint(*a) == fingerprint for a in self._succeeded
+            crash_suspects.request_fingerprint(*a) == fingerprint
+            for a in self._succeeded
         )
         if succeeded:
             self.on_clear(fingerprint)
             return
-        self._apply_crash(fingerprint, end, "", name)
+        self._apply_crash(fingerprint, crash, "", name)
 
     def _apply_crash(
-        self, fingerprint: bytes,
-        end: crash_suspects.ServerCrash,
+        self,
+        fingerprint: bytes,
+        crash: crash_suspects.ServerCrash,
         request: str,
         name: str,
     ) -> bool:
-        if not self.suspects.record_crash(fingerprint, end, self._now()):
+        if not self.suspects.record_crash(fingerprint, crash, self._now()):
             return False
         verdict = self.suspects.judge(fingerprint, self._now())
         self._metrics.crashes.labels(verdict.stage.value).inc()
@@ -295,7 +297,7 @@
             content=fingerprint.hex(),
             request=request,
             server=name,
-            key=end.server_key.hex(),
+            key=crash.server_key.hex(),
             ends=len(verdict.crashes),
             stage=verdict.stage.value,
         )
@@ -320,5 +322,5 @@
     return crash_suspects.request_fingerprint(*_request_key(job))
 
 
-def _no_peers(*facts: object) -> None:
+def _discard(*facts: object) -> None:
     """Default callback, used until gossip is connected."""
--- a/irisshelf/gateway/servers/eligibility.py
+++ b/irisshelf/gateway/servers/eligibility.py
@@ -208,16 +208,16 @@
         By then it has become warm, or it is this instance's turn.
         """
         now = self._now()
-        left_s = self.cold.remaining_s(server.server_id, now)
+        remaining_s = self.cold.remaining_s(server.server_id, now)
         bounds = self.cold_bounds(server.service)
-        if bounds is None or not left_s:
+        if bounds is None or not remaining_s:
             return 0.0
         if server.data_centre != self.cfg.data_centre:
-            return left_s
+            return remaining_s
         turn_s = self.cold.next_send_in_s(
             server.server_id, bounds, self.members(), now
         )
-        return min(left_s, turn_s)
+        return min(remaining_s, turn_s)
 
     def record_sent_to_cold(self, server: directory.BackendServer) -> None:
         """Records that this instance sends a request to a cold server."""
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -34,7 +34,7 @@
     """Servers of all services: selection, load, health, connections.
 
     Args:
-        cfg: The settings; replaced when they are read anew.
+        cfg: The settings; replaced when they are reloaded.
         listed: The servers that the store lists.
         eligible: Which of them may receive requests.
         log: The decision log.
@@ -70,7 +70,7 @@
             now=now,
             enabled=cfg.policy.reach,
         )
-        self.publish: Callable[[facts.Fact], None] = _no_peers
+        self.publish: Callable[[facts.Fact], None] = _discard
         self.reports = server_reports.ReportHandler(
             availability=eligible.availability,
             on_load=self.record_reported_load,
@@ -90,7 +90,7 @@
         self._now = now
         self._by_key: dict[bytes, directory.BackendServer] = {}
         # Entry ids by their keys; these differ from the keys of server ids.
-        self._ids: dict[bytes, str] = {}
+        self._entry_ids: dict[bytes, str] = {}
         self._delisted_s: dict[bytes, float] = {}
         self._choosers: dict[str, server_choice.Chooser] = {}
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
@@ -150,8 +150,8 @@
         """Records the load that a server reports and publishes it."""
         now = self._now()
         work = load.running + load.waiting
-        book = self.chooser(server.service).stats
-        book.record_load_report(server.server_id, work=work, at_s=now)
+        stats = self.chooser(server.service).stats
+        stats.record_load_report(server.server_id, work=work, at_s=now)
         key = directory.key_of(server.server_id)
         self.publish(facts.ServerLoad(server=key, work=work, at_s=now))
 
@@ -179,7 +179,7 @@
 
     @apply_fact.register
     def _(self, fact: facts.ServerCold) -> None:
-        entry_id = self._ids.get(fact.server)
+        entry_id = self._entry_ids.get(fact.server)
         server = None if entry_id is None else self._listed.get(entry_id)
         if server is not None:
             now = self._now()
@@ -201,8 +201,8 @@
     def _(self, fact: facts.ServerLoad) -> None:
         server = self._by_key.get(fact.server)
         if server is not None:
-            book = self.chooser(server.service).stats
-            book.record_load_report(
+            stats = self.chooser(server.service).stats
+            stats.record_load_report(
                 server.server_id, work=fact.work, at_s=fact.at_s
             )
 
@@ -223,7 +223,7 @@
         self._by_key = {
             directory.key_of(server.server_id): server for server in servers
         }
-        self._ids = {
+        self._entry_ids = {
             directory.key_of(server.entry_id): server.entry_id
             for server in servers
         }
@@ -268,8 +268,8 @@
 
     def record_activity(self, server: directory.BackendServer) -> None:
         """Records that data has arrived from a server."""
-        book = self.chooser(server.service).stats
-        book.record_received(server.server_id, self._now())
+        stats = self.chooser(server.service).stats
+        stats.record_received(server.server_id, self._now())
 
     def exited_for_s(self, server: directory.BackendServer) -> float:
         """Returns how long ago a server's process was found to have exited.
@@ -338,8 +338,8 @@
             # The process has restarted; its new entry follows a little later.
             del self._exited_s[server.server_id]
             self.eligible.assume_cold(server)
-        book = self.chooser(server.service).stats
-        book.record_connect(server.server_id, self._now())
+        stats = self.chooser(server.service).stats
+        stats.record_connect(server.server_id, self._now())
 
     def _on_unreachable(
         self, server: directory.BackendServer, exc: errors.ConnectError
@@ -354,8 +354,8 @@
         detail: str = "",
     ) -> None:
         """Records what a request showed about a server."""
-        book = self.chooser(server.service).stats
-        why = book.record_outcome(server.server_id, outcome, self._now())
+        stats = self.chooser(server.service).stats
+        why = stats.record_outcome(server.server_id, outcome, self._now())
         if outcome is not server_stats.Outcome.SUCCESS:
             self._metrics.failures.labels(outcome.value).inc()
         if why:
@@ -372,5 +372,5 @@
             )
 
 
-def _no_peers(fact: facts.Fact) -> None:
+def _discard(fact: facts.Fact) -> None:
     """Default for ``publish``, used until gossip is connected."""
--- a/irisshelf/tests/test_gateway_overload.py
+++ b/irisshelf/tests/test_gateway_overload.py
@@ -9,9 +9,9 @@
 
 def _report_load(world, work):
     """Records a load report of every engine, each of which has 64 slots."""
-    book = world.inst.servers.chooser("lm").stats
+    stats = world.inst.servers.chooser("lm").stats
     for engine in world.engines:
-        book.record_load_report(
+        stats.record_load_report(
             engine.server_id, work=work, at_s=world.inst.now()
         )
 
--- a/irisshelf/tests/test_server_restarts.py
+++ b/irisshelf/tests/test_server_restarts.py
@@ -50,42 +50,42 @@
     world.inst.server_list_loaded()
 
 
-def _book(world):
+def _stats(world):
     return world.inst.servers.chooser("crew").stats
 
 
 def _load(world, server):
     load = messages.Load(running=9, waiting=9, slots=4)
     world.inst.servers.record_reported_load(server, load)
-    return lambda of: _book(world).load(of.server_id, world.inst.now()) > 5
+    return lambda of: _stats(world).load(of.server_id, world.inst.now()) > 5
 
 
 def _load_from_peers(world, server):
     key = directory.key_of(server.server_id)
     fact = facts.ServerLoad(server=key, work=18, at_s=world.inst.now())
     world.inst.servers.apply_fact(fact)
-    return lambda of: _book(world).load(of.server_id, world.inst.now()) > 5
+    return lambda of: _stats(world).load(of.server_id, world.inst.now()) > 5
 
 
 def _ejection(world, server):
     for _ in range(4):
-        seen = server_stats.Outcome.BROKEN
-        world.inst.servers.record_observation(server, seen, "r1")
+        outcome = server_stats.Outcome.BROKEN
+        world.inst.servers.record_observation(server, outcome, "r1")
     return lambda of: (
-        not _book(world).is_available(of.server_id, world.inst.now())
+        not _stats(world).is_available(of.server_id, world.inst.now())
     )
 
 
 def _unreachable(world, server):
-    _book(world).record_outcome(
+    _stats(world).record_outcome(
         server.server_id, server_stats.Outcome.UNREACHABLE, world.inst.now()
     )
     return world.inst.servers.is_unreachable
 
 
 def _duration(world, server):
-    _book(world).record_duration(server.server_id, 3.0)
-    return lambda of: _book(world).duration_s(of.server_id) > 0
+    _stats(world).record_duration(server.server_id, 3.0)
+    return lambda of: _stats(world).duration_s(of.server_id) > 0
 
 
 def _cached_prompt(world, server):
@@ -102,8 +102,10 @@
 
 
 def _has_cached_prompt(world, server):
-    held = world.inst.servers.chooser("crew").cache_locations
-    return any(server.server_id in servers for servers in held._entries.values())
+    cache = world.inst.servers.chooser("crew").cache_locations
+    return any(
+        server.server_id in servers for servers in cache._entries.values()
+    )
 
 
 def _idle_connection(world, server):
