--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -1,8 +1,8 @@
-"""What one instance does about requests that end the servers that run them.
+"""Tracks requests that crash the backend servers that process them.
 
-See ``crash_suspects`` for what is decided; here is what it is decided by:
-whether a server has ended, what has been answered well of late, and what
-other instances have seen.
+``routing.crash_suspects`` makes the decisions. This module provides the input:
+whether a server's process has exited, which requests have succeeded recently,
+and what other instances report.
 """
 
 from __future__ import annotations
@@ -23,44 +23,44 @@
 from irisshelf.transport import client
 from irisshelf.transport import errors
 
-# Good answers that are remembered, and the longest bodies among them: 3 MB at
-# the most. A content that many repeat is among them when a server ends, so that
-# it is not blamed for that.
-_RECENT = 512
-_RECENT_BODY_BYTES = 4096
-# A server that has ended is not asked again so soon: none is back by then. One
-# that listens may end the next moment.
+# Number of recent successful requests that are remembered, and the largest body
+# among them: about 3 MB at most. A request that many callers repeat is usually
+# among them when a server exits, and is then not blamed for the crash.
+_MAX_RECENT = 512
+_MAX_RECENT_BODY_BYTES = 4096
+# A server that has exited is not probed again for this long, as none restarts
+# faster. That a server listens is not remembered: it may exit at any moment.
 _EXIT_KNOWN_S = 1.0
+# A server that exited within this time may have crashed under a suspect request
+# from another instance whose message, which is sent twice, is still under way.
+_PRESUMED_CRASH_S = 1.0
 
-# A server that has gone may have ended under a suspect request at another
-# instance as long as the message about it, which is sent twice, may take.
-_PRESUMED_S = 1.0
-
-_Asked = tuple[str, str, str, bytes]
+_RequestKey = tuple[str, str, str, bytes]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SuspectPlacement:
-    """Where a suspect request may go; see ``DesignatedServer``."""
+    """Where a suspect may be sent; see ``crash_suspects.DesignatedServer``."""
 
     server: directory.BackendServer | None
     uncertain: bool
 
 
 class CrashTracker:
-    """Knows contents that servers ended under, and tells of them.
+    """Tracks which requests crash servers, and notifies other instances.
 
     Args:
-        servers: How servers are reached.
+        servers: State of the servers and connections to them.
         listed: The servers that the store lists.
-        log: Takes decisions.
+        log: The decision log.
         counts: Metrics.
         now: Monotonic seconds.
 
     Attributes:
-        suspects: What is known of contents.
-        on_crash: Told of an end that this instance saw, to tell the others.
-        on_clear: Told of a content that is cleared, to tell the others.
+        suspects: Suspect request fingerprints and the crashes behind them.
+        on_crash: Called with a crash that this instance observed, to notify
+            others.
+        on_clear: Called with a fingerprint that is cleared, to notify others.
     """
 
     def __init__(
@@ -74,31 +74,31 @@
     ):
         self.suspects = crash_suspects.CrashSuspects()
         self.on_crash: Callable[[bytes, crash_suspects.ServerCrash], None] = (
-            _no_peers
+            _discard
         )
-        self.on_clear: Callable[[bytes], None] = _no_peers
+        self.on_clear: Callable[[bytes], None] = _discard
         self._servers = servers
         self._listed = listed
         self._log = log
         self._metrics = counts
         self._now = now
-        self._recent: collections.deque[_Asked] = collections.deque(
-            maxlen=_RECENT
+        self._succeeded: collections.deque[_RequestKey] = collections.deque(
+            maxlen=_MAX_RECENT
         )
-        # By life: when it was found to have ended.
+        # By server id: when the process was found to have exited.
         self._exited_s: dict[str, float] = {}
         self._probes: dict[str, gevent.Greenlet] = {}
 
     def verdict(self, job: messages.Job) -> crash_suspects.Verdict | None:
-        """Returns what is thought of a request; None if it is clear.
+        """Returns the verdict on a request; None if it is not suspect.
 
-        As long as no content is suspect, which is nearly always, this is one
-        look. Bodies are read only where team, path and length are those of a
-        suspect one, as a long one holds up the loop.
+        While nothing is suspect, which is nearly always, this is a single
+        check. The body is hashed only if team, method, path and length match a
+        suspect request, as hashing a long body blocks the event loop.
         """
         if not self._may_be_suspect(job):
             return None
-        found = self.suspects.judge(_content(job), self._now())
+        found = self.suspects.judge(_fingerprint(job), self._now())
         return None if found.stage is crash_suspects.Stage.CLEAR else found
 
     def place_suspect(
@@ -107,111 +107,115 @@
         verdict: crash_suspects.Verdict,
         avoid: set[str],
     ) -> SuspectPlacement:
-        """Returns the one server that a suspect request may go to, if any."""
-        known = {
+        """Returns the only server that a suspect request may be sent to."""
+        by_id = {
             server.server_id: server
             for server in self._servers.eligible.accepting(
                 job.service, job.regions
             )
         }
-        gone = {
+        exited = {
             name
-            for name, server in known.items()
-            if self._servers.exited_for_s(server) <= _PRESUMED_S
+            for name, server in by_id.items()
+            if self._servers.exited_for_s(server) <= _PRESUMED_CRASH_S
         }
-        fit = [
+        candidates = [
             name
-            for name, server in known.items()
-            if name in gone
+            for name, server in by_id.items()
+            if name in exited
             or (name not in avoid and not self._servers.is_unreachable(server))
         ]
-        keys = {end.server_key for end in verdict.crashes}
+        keys = {crash.server_key for crash in verdict.crashes}
         found = crash_suspects.designate_server(
-            _content(job),
-            fit,
-            crashed={name for name in fit if directory.key_of(name) in keys},
-            recently_gone=gone,
+            _fingerprint(job),
+            candidates,
+            crashed={
+                name for name in candidates if directory.key_of(name) in keys
+            },
+            recently_gone=exited,
             crash_count=len(verdict.crashes),
         )
-        server = None if found.server is None else known[found.server]
+        server = None if found.server is None else by_id[found.server]
         return SuspectPlacement(server=server, uncertain=found.uncertain)
 
     def record_disconnect(
         self, job: messages.Job, server: directory.BackendServer
     ) -> bool:
-        """Takes that a connection broke before anything of an answer came.
+        """Records that a connection broke before any response data arrived.
 
         Returns:
-            Whether the request looks as if it had ended the server.
+            Whether the request seems to have crashed the server.
         """
-        if not self.has_exited(server) or _asked(job) in self._recent:
+        if not self.has_exited(server) or _request_key(job) in self._succeeded:
             return False
-        end = crash_suspects.ServerCrash(
+        crash = crash_suspects.ServerCrash(
             server_key=directory.key_of(server.server_id), at_s=self._now()
         )
-        content = _content(job)
+        fingerprint = _fingerprint(job)
         if self._apply_crash(
-            content, end, job.head.request_id, server.server_id
+            fingerprint, crash, job.head.request_id, server.server_id
         ):
-            self.on_crash(content, end)
+            self.on_crash(fingerprint, crash)
         return True
 
     def record_success(self, job: messages.Job) -> None:
-        """Takes that a request was answered well."""
-        if len(job.inbound.body) <= _RECENT_BODY_BYTES:
-            self._recent.append(_asked(job))
+        """Records that a request has succeeded."""
+        if len(job.inbound.body) <= _MAX_RECENT_BODY_BYTES:
+            self._succeeded.append(_request_key(job))
         if not self._may_be_suspect(job):
             return
-        content = _content(job)
-        if self._clear(content, job.head.request_id):
-            self.on_clear(content)
+        fingerprint = _fingerprint(job)
+        if self._clear(fingerprint, job.head.request_id):
+            self.on_clear(fingerprint)
 
     def record_refusal(
         self, job: messages.Job, verdict: crash_suspects.Verdict
     ) -> None:
-        """Takes that a request is refused for what servers ended under."""
+        """Records that a request is rejected for crashing servers."""
         self._metrics.crashes.labels("refused").inc()
         self._log.request(
             "request_barred",
             job.head.request_id,
-            content=_content(job).hex(),
-            servers=[end.server_key.hex() for end in verdict.crashes],
+            content=_fingerprint(job).hex(),
+            servers=[crash.server_key.hex() for crash in verdict.crashes],
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
     def receive_crash(
-        self, content: bytes, end: crash_suspects.ServerCrash
+        self, fingerprint: bytes, crash: crash_suspects.ServerCrash
     ) -> None:
-        """Takes an end that another instance has seen, if it is confirmed here.
+        """Applies a crash that another instance reports, if confirmed here.
 
-        A datagram may say anything. It counts only if this instance finds the
-        server ended as well: its entry has gone, or nobody listens there.
+        A datagram may be forged or wrong. It counts only if this instance also
+        finds that the server has exited: its entry is gone, or nothing
+        listens at its address.
         """
-        server = self._servers.by_key(end.server_key)
+        server = self._servers.by_key(crash.server_key)
         if server is None:
-            if self._servers.recently_delisted(end.server_key):
-                self._apply_reported_crash(content, end, "")
+            if self._servers.recently_delisted(crash.server_key):
+                self._apply_reported_crash(fingerprint, crash, "")
             return
         if self.has_exited(server):
-            self._apply_reported_crash(content, end, server.server_id)
+            self._apply_reported_crash(fingerprint, crash, server.server_id)
 
-    def receive_clear(self, content: bytes) -> None:
-        """Takes that another instance has a good answer to a content."""
-        self._clear(content, "")
+    def receive_clear(self, fingerprint: bytes) -> None:
+        """Applies that another instance has seen the request succeed."""
+        self._clear(fingerprint, "")
 
     def merge_crash(
-        self, content: bytes, end: crash_suspects.ServerCrash
+        self, fingerprint: bytes, crash: crash_suspects.ServerCrash
     ) -> None:
-        """Takes what a neighbour has answered to this instance's question."""
-        self._apply_crash(content, end, "", "")
+        """Adds a crash from a peer's snapshot that this instance requested."""
+        self._apply_crash(fingerprint, crash, "", "")
 
     def has_exited(self, server: directory.BackendServer) -> bool:
-        """Tells whether a listed server's process has ended.
+        """Returns whether a listed server's process has exited.
 
-        A reset alone says nothing: connections are reset, and die while an
-        instance stands still. But where a process has ended, its machine
-        refuses a new connection. A server that is silent is cut off or dark,
-        which no request brings about; one that leaves ends as planned.
+        A connection reset does not show that: connections are also reset for
+        other reasons, and break while an instance is suspended. But when a
+        process has exited, its host refuses new connections. A silent server
+        is unresponsive or partitioned, which no request causes, and one that
+        is draining exits as planned.
         """
         listed = self._listed.get(server.entry_id)
         if listed is None or self._servers.eligible.is_leaving(server):
@@ -232,17 +236,17 @@
         if not self.suspects:
             return False
         inbound = job.inbound
-        shape = crash_suspects.fingerprint_prefix(
+        prefix = crash_suspects.fingerprint_prefix(
             job.team, inbound.method, inbound.target, len(inbound.body)
         )
-        return self.suspects.has_prefix(shape)
+        return self.suspects.has_prefix(prefix)
 
     def _probe(self, server: directory.BackendServer) -> bool:
         try:
-            ended = self._is_refusing(server)
+            exited = self._is_refusing(server)
         finally:
             del self._probes[server.server_id]
-        if ended:
+        if exited:
             now = self._now()
             self._exited_s = {
                 name: exited_s
@@ -250,10 +254,10 @@
                 if now - exited_s < _EXIT_KNOWN_S
             }
             self._exited_s[server.server_id] = now
-        return ended
+        return exited
 
     def _is_refusing(self, server: directory.BackendServer) -> bool:
-        """Tells whether nobody listens at a server's address."""
+        """Returns whether a server's host refuses connections."""
         self._metrics.connects.labels(server.service).inc()
         try:
             conn = client.connect(
@@ -266,57 +270,57 @@
         return False
 
     def _apply_reported_crash(
-        self, content: bytes, end: crash_suspects.ServerCrash, name: str
+        self, fingerprint: bytes, crash: crash_suspects.ServerCrash, name: str
     ) -> None:
-        known = any(
-            crash_suspects.request_fingerprint(*a) == content
-            for a in self._recent
+        succeeded = any(
+            crash_suspects.request_fingerprint(*a) == fingerprint
+            for a in self._succeeded
         )
-        if known:
-            self.on_clear(content)
+        if succeeded:
+            self.on_clear(fingerprint)
             return
-        self._apply_crash(content, end, "", name)
+        self._apply_crash(fingerprint, crash, "", name)
 
     def _apply_crash(
         self,
-        content: bytes,
-        end: crash_suspects.ServerCrash,
+        fingerprint: bytes,
+        crash: crash_suspects.ServerCrash,
         request: str,
         name: str,
     ) -> bool:
-        if not self.suspects.record_crash(content, end, self._now()):
+        if not self.suspects.record_crash(fingerprint, crash, self._now()):
             return False
-        verdict = self.suspects.judge(content, self._now())
+        verdict = self.suspects.judge(fingerprint, self._now())
         self._metrics.crashes.labels(verdict.stage.value).inc()
         self._log.problem(
             "server_ended_under_request",
-            content=content.hex(),
+            content=fingerprint.hex(),
             request=request,
             server=name,
-            key=end.server_key.hex(),
+            key=crash.server_key.hex(),
             ends=len(verdict.crashes),
             stage=verdict.stage.value,
         )
         return True
 
-    def _clear(self, content: bytes, request: str) -> bool:
-        if not self.suspects.record_success(content):
+    def _clear(self, fingerprint: bytes, request: str) -> bool:
+        if not self.suspects.record_success(fingerprint):
             return False
         self._metrics.crashes.labels("cleared").inc()
         self._log.instance(
-            "content_cleared", content=content.hex(), request=request
+            "content_cleared", content=fingerprint.hex(), request=request
         )
         return True
 
 
-def _asked(job: messages.Job) -> _Asked:
+def _request_key(job: messages.Job) -> _RequestKey:
     inbound = job.inbound
     return (job.team, inbound.method, inbound.target, inbound.body)
 
 
-def _content(job: messages.Job) -> bytes:
-    return crash_suspects.request_fingerprint(*_asked(job))
+def _fingerprint(job: messages.Job) -> bytes:
+    return crash_suspects.request_fingerprint(*_request_key(job))
 
 
-def _no_peers(*facts: object) -> None:
-    """Stands in until there are others to tell."""
+def _discard(*facts: object) -> None:
+    """Default callback, used until gossip is connected."""
