--- a/irisshelf/coordination/__init__.py
+++ b/irisshelf/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Parts that agree through the platform; free of input and output."""
+"""Protocols by which instances coordinate; pure logic without input or output."""
--- a/irisshelf/coordination/claim.py
+++ b/irisshelf/coordination/claim.py
@@ -1,19 +1,21 @@
-"""Claims: a call that may not be repeated runs at most once.
+"""At-most-once execution of non-idempotent calls, by claims on their keys.
 
-Before the call is sent, a row for its key is inserted into the platform's
-table on condition that there is none. Whoever inserted it may send the call,
-once. Nobody else may, ever, until the row's time to live has passed.
+Before a call is sent, a row for its idempotency key is inserted into the
+platform's table on condition that there is none. The instance that inserted the
+row may send the call once. No other instance may send it until the row's time
+to live has passed.
 
-Promise: for one key, at most one instance sends the call, at most once, as
-long as the table keeps its word on conditions and the row lives longer than
-any caller repeats the key (``TTL_S``).
+Guarantee: for each key, at most one instance sends the call, at most once,
+provided that the table honours conditional writes and the row outlives the
+caller's last retry of the key (``TTL_S``).
 
-Not promised: that a claimed call runs. An instance that dies between claim
-and send leaves a claim whose call never ran; a repeat is told ``unknown``.
-A claim whose insert was given up may take effect late, with the same result.
+Not guaranteed: that a claimed call runs. An instance that crashes between the
+claim and the send leaves a claim whose call never ran; a retry is answered with
+``unknown``. The same holds for an insert that was abandoned and takes effect
+late.
 
-Everything here is a pure function of the table's answers; the caller carries
-out the reads and writes.
+All functions are pure functions of the table's responses; the caller performs
+the reads and writes.
 """
 
 from __future__ import annotations
@@ -37,14 +39,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Claim:
-    """One instance's request to be the one that sends a call.
+    """An instance's request for the exclusive right to send a call.
 
     Attributes:
-        row: The table's key, from ``row_key``.
-        claim_id: Unique to this request; tells our insert from another's.
-        attempts: Inserts of this claim already tried.
-        if_version: The row's version that the insert expects: none, or that
-            of a row whose claim was released.
+        row: Key of the row, from ``row_key``.
+        claim_id: Unique to this request; distinguishes this instance's insert
+            from those of others.
+        attempts: Number of earlier attempts at the insert.
+        if_version: Version of the row on which the insert is conditional:
+            ``messages.ABSENT``, or that of a row whose claim was released.
     """
 
     row: str
@@ -54,7 +57,7 @@
 
 
 class State(enum.StrEnum):
-    """What the row says of the call."""
+    """State of a call as stored in its row."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -63,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RecordedOutcome:
-    """Outcome of a call that ran, as kept in its row."""
+    """Outcome of a call that ran, as stored in its row."""
 
     status: int
     content_type: str
@@ -72,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Granted:
-    """The caller may send the call, once."""
+    """The claim succeeded; the caller may send the call once."""
 
     claim: Claim
     version: int
@@ -80,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Duplicate:
-    """Another claim came first; what is recorded of it, if anything."""
+    """Another claim holds the key; contains its outcome if one is stored."""
 
     claim: Claim
     recorded: RecordedOutcome | None
@@ -88,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """No claim could be made; the call did not run."""
+    """The claim failed; the call did not run."""
 
     claim: Claim
     detail: str
@@ -96,14 +99,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadBack:
-    """The insert's answer is lost: read the row, then ``after_read``."""
+    """The insert's response was lost; read the row and call ``after_read``."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Insert:
-    """Try the insert of this claim (again)."""
+    """Attempt the insert of this claim, or attempt it again."""
 
     claim: Claim
 
@@ -112,13 +115,13 @@
 
 
 def row_key(*, team: str, service: str, key: str) -> str:
-    """Returns the table's key for a caller's idempotency key."""
+    """Returns the key of the row for a caller's idempotency key."""
     text = "\0".join((team, service, key))
     return ROW_PREFIX + hashlib.sha256(text.encode()).hexdigest()[:40]
 
 
 def insert_write(claim: Claim) -> messages.Write:
-    """Returns the conditional write that makes a claim."""
+    """Returns the conditional write that inserts a claim."""
     return messages.Write(
         key=claim.row,
         value={"id": claim.claim_id, "state": State.CLAIMED.value},
@@ -130,7 +133,7 @@
 def outcome_write(
     granted: Granted, recorded: RecordedOutcome
 ) -> messages.Write:
-    """Returns the write that keeps a call's outcome for repeats."""
+    """Returns the write that stores a call's outcome for later retries."""
     return messages.Write(
         key=granted.claim.row,
         value={
@@ -144,10 +147,10 @@
 
 
 def release_write(granted: Granted) -> messages.Write:
-    """Returns the write that gives a claim up whose call did not run.
+    """Returns the write that releases a claim whose call did not run.
 
-    Only the holder may release, and must not send the call afterwards, even
-    if the release's answer is lost.
+    Only the holder may release a claim. It must not send the call afterwards,
+    even if the response to the release is lost.
     """
     return messages.Write(
         key=granted.claim.row,
@@ -166,25 +169,25 @@
         tuple[int, ...], errors.Conflict | errors.Unavailable
     ],
 ) -> list[Step]:
-    """Decides what follows from the answer to one grouped insert.
+    """Determines the next steps after a transaction of inserts.
 
     Args:
-        claims: The claims of the transaction, in order.
-        answer: What the table answered.
+        claims: Claims of the transaction, in order.
+        answer: The table's response.
 
     Returns:
-        One step a claim, in order.
+        One step for each claim, in the same order.
     """
     if isinstance(answer, result.Ok):
         return [
             Granted(claim=claim, version=version)
             for claim, version in zip(claims, answer.ok_value, strict=True)
         ]
-    problem = answer.err_value
-    if isinstance(problem, errors.Conflict):
-        return _after_conflict(claims, problem)
-    if problem.effect is errors.Effect.NONE:
-        return [_again(claim, problem.detail) for claim in claims]
+    error = answer.err_value
+    if isinstance(error, errors.Conflict):
+        return _after_conflict(claims, error)
+    if error.effect is errors.Effect.NONE:
+        return [_retry(claim, error.detail) for claim in claims]
     return [ReadBack(claim=claim) for claim in claims]
 
 
@@ -192,15 +195,16 @@
     claim: Claim,
     answer: result.Result[messages.Row, errors.NotFound | errors.Unavailable],
 ) -> Step:
-    """Decides what follows from reading a claim's row back."""
+    """Determines the next step after a claim's row was read back."""
     if isinstance(answer, result.Ok):
         row = answer.ok_value
-        return _existing(claim, row.value, row.version)
+        return _step_for_row(claim, row.value, row.version)
     if isinstance(answer.err_value, errors.NotFound):
-        # Not (yet) in effect. The same claim id goes in again: should the
-        # lost insert still take effect, its row is recognised as ours.
+        # The insert has not taken effect, or not yet. It is retried with the
+        # same claim id, so that the row of a late insert is still recognised
+        # as this instance's own.
         fresh = dataclasses.replace(claim, if_version=messages.ABSENT)
-        return _again(fresh, "the insert was lost")
+        return _retry(fresh, "the insert was lost")
     return Refused(claim=claim, detail=answer.err_value.detail)
 
 
@@ -212,24 +216,24 @@
     for index, claim in enumerate(claims):
         if index in failed:
             item = failed[index]
-            steps.append(_existing(claim, item.value, item.version))
+            steps.append(_step_for_row(claim, item.value, item.version))
         else:
-            # The transaction did nothing; this claim was not at fault.
+            # The transaction was rolled back because of another claim.
             steps.append(Insert(claim=claim))
     return steps
 
 
-def _existing(claim: Claim, value: Any, version: int) -> Step:
+def _step_for_row(claim: Claim, value: Any, version: int) -> Step:
     if not isinstance(value, dict):
         return Duplicate(claim=claim, recorded=None)
     if value.get("state") == State.RELEASED:
         return Insert(claim=dataclasses.replace(claim, if_version=version))
     if value.get("id") == claim.claim_id:
         return Granted(claim=claim, version=version)
-    return Duplicate(claim=claim, recorded=_recorded(value))
+    return Duplicate(claim=claim, recorded=_stored_outcome(value))
 
 
-def _recorded(value: dict[str, Any]) -> RecordedOutcome | None:
+def _stored_outcome(value: dict[str, Any]) -> RecordedOutcome | None:
     outcome = value.get("outcome")
     if value.get("state") != State.DONE or not isinstance(outcome, dict):
         return None
@@ -239,7 +243,7 @@
         return None
 
 
-def _again(claim: Claim, detail: str) -> Step:
+def _retry(claim: Claim, detail: str) -> Step:
     if claim.attempts + 1 >= MAX_ATTEMPTS:
         return Refused(claim=claim, detail=detail)
     return Insert(claim=dataclasses.replace(claim, attempts=claim.attempts + 1))
--- a/irisshelf/coordination/clock.py
+++ b/irisshelf/coordination/clock.py
@@ -1,6 +1,6 @@
-"""Hybrid logical clock: stamps that keep cause before effect.
+"""Hybrid logical clock, whose timestamps preserve causal order.
 
-Source: Kulkarni et al., "Logical Physical Clocks", 2014.
+Reference: Kulkarni et al., "Logical Physical Clocks", 2014.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, order=True)
 class Timestamp:
-    """A moment: wall-clock seconds, then a counter, then the process."""
+    """Wall-clock seconds, a logical counter and the process, in this order."""
 
     wall_s: float
     count: int
@@ -21,11 +21,13 @@
 
 
 class HybridClock:
-    """Makes stamps that grow, also past those received from others.
+    """Generates strictly increasing timestamps.
+
+    Each is also later than all timestamps received from other processes.
 
     Args:
         process: Name of this process.
-        wall: Returns wall-clock seconds.
+        wall: Returns the wall-clock time in seconds.
 
     Example:
         >>> clock = HybridClock(process="a", wall=lambda: 5.0)
@@ -40,19 +42,20 @@
         self._count = 0
 
     def now(self) -> Timestamp:
-        """Returns a stamp later than every stamp made or received before."""
+        """Returns a timestamp later than all generated or received so far."""
         return self._advance(self._last_s, self._count)
 
-    def receive(self, stamp: Timestamp) -> Timestamp:
-        """Moves past a received stamp.
+    def receive(self, timestamp: Timestamp) -> Timestamp:
+        """Advances the clock past a received timestamp and returns the result.
 
-        A stamp more than ``MAX_AHEAD_S`` ahead of the wall clock is ignored:
-        one process with a wrong clock must not drag all others along.
+        A timestamp more than ``MAX_CLOCK_AHEAD_S`` ahead of the wall clock is
+        ignored, so that one process with a wrong clock does not advance the
+        clocks of all others.
         """
-        if stamp.wall_s > self._wall() + MAX_CLOCK_AHEAD_S:
+        if timestamp.wall_s > self._wall() + MAX_CLOCK_AHEAD_S:
             return self.now()
-        if (stamp.wall_s, stamp.count) > (self._last_s, self._count):
-            return self._advance(stamp.wall_s, stamp.count)
+        if (timestamp.wall_s, timestamp.count) > (self._last_s, self._count):
+            return self._advance(timestamp.wall_s, timestamp.count)
         return self.now()
 
     def _advance(self, last_s: float, count: int) -> Timestamp:
--- a/irisshelf/coordination/facts.py
+++ b/irisshelf/coordination/facts.py
@@ -1,8 +1,9 @@
-"""What instances tell each other of backend servers.
+"""Facts about backend servers that instances share by gossip.
 
-A fact names a server by the short key of its life (``directory.key_of``), so
-that one told of an earlier life under the same id says nothing of a later one;
-but for coldness, which is told just where the later life is not known yet.
+A fact identifies a server by the short key of its incarnation
+(``directory.key_of``), so that a fact about an earlier incarnation under the
+same id does not apply to a later one. The exception is ``ServerCold``, which is
+shared precisely because the later incarnation is not known everywhere yet.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServerLoad:
-    """A server's load, as it reports it.
+    """The load that a server reports.
 
     Attributes:
-        server: The server's key.
-        work: Requests that run or wait there.
-        at_s: When it said so, monotonic seconds of the reader.
+        server: Key of the server.
+        work: Number of requests running or queued on it.
+        at_s: Time of the report, in the reader's monotonic seconds.
     """
 
     server: bytes
@@ -27,11 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PartCached:
-    """A server has read a part of a prompt, or is about to.
+    """A server has a part of a prompt in its cache, or is about to.
 
     Attributes:
-        server: The server's key.
-        part: The part's key, see ``holdings.key_of``.
+        server: Key of the server.
+        part: Key of the part, see ``cache_locations.key_of``.
     """
 
     server: bytes
@@ -40,14 +41,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServerCold:
-    """A server is cold, as the store says.
+    """A server is cold according to the store.
 
-    Instances that the store has not told send to it meanwhile; it may
-    be back under its id, of which they know the earlier life.
+    An instance that the store has not notified yet knows only the earlier
+    incarnation under the same id and would send requests to the cold server.
 
     Attributes:
-        server: The key of the id in the list, not of a life.
-        until_s: When it is warm again, monotonic seconds of the reader.
+        server: Key of the server's id in the list, not of an incarnation.
+        until_s: Time at which it is warm, in the reader's monotonic seconds.
     """
 
     server: bytes
@@ -56,11 +57,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServerPause:
-    """A server has told an instance that it takes no requests.
+    """A server has told an instance that it accepts no requests for a while.
 
     Attributes:
-        server: The server's key.
-        until_s: Until when, monotonic seconds of the reader.
+        server: Key of the server.
+        until_s: End of the pause, in the reader's monotonic seconds.
     """
 
     server: bytes
--- a/irisshelf/coordination/fleet_size.py
+++ b/irisshelf/coordination/fleet_size.py
@@ -1,39 +1,39 @@
-"""How many instances there are, as one of them knows."""
+"""Estimate of the number of instances, as one of them sees it."""
 
 from __future__ import annotations
 
 import collections
 
-# Cuts last seconds, and those who are cut off know of fewest; instances that
-# are gone for longer leave their part to the others.
-_REMEMBER_S = 60.0
+# Network partitions last seconds, and the instances cut off know of the fewest
+# others. After a longer absence, an instance's share goes to the remaining ones.
+_WINDOW_S = 60.0
 
 
 class FleetSize:
-    """How many instances share what is bounded for all of them together.
+    """Number of instances that share a limit set for all of them together.
 
-    The largest count of the last minute holds: an instance that hears of
-    fewer may be cut off from the others, which take their parts on.
+    The estimate is the largest count within the last minute: an instance that
+    knows fewer may be cut off from the others, which take over their shares.
 
     Args:
-        alone: Whether it has nobody to ask for others, so that it is the only
-            one until one is heard of.
+        alone: Whether no other instance is configured to be queried, so that
+            this instance is the only one until another contacts it.
     """
 
     def __init__(self, *, alone: bool):
         self._alone = alone
-        # Counts that none later exceeds, largest first, with their times.
+        # (time, count), by time; each count is larger than all later ones.
         self._counts: collections.deque[tuple[float, int]] = collections.deque()
 
     def record(self, count: int, now: float) -> None:
-        """Takes how many instances are known of now, this one included."""
+        """Records how many instances are known now, this one included."""
         while self._counts and self._counts[-1][1] <= count:
             self._counts.pop()
         self._counts.append((now, count))
 
     def estimate(self, now: float) -> int | None:
-        """Returns how many there are; None if that is not known."""
-        while self._counts and now - self._counts[0][0] > _REMEMBER_S:
+        """Returns the number of instances, or None if it is not known."""
+        while self._counts and now - self._counts[0][0] > _WINDOW_S:
             self._counts.popleft()
         if self._counts and self._counts[0][1] > 1:
             return self._counts[0][1]
--- a/irisshelf/coordination/head.py
+++ b/irisshelf/coordination/head.py
@@ -1,16 +1,16 @@
-"""The bundle head: which bundle is the fleet's, moved only upwards.
+"""The bundle head: which bundle the fleet runs, with increasing numbers.
 
-The head is one row of the platform's table. ``submission`` moves it by
-compare-and-set to a higher number; ``Follower`` decides what an instance puts
-in force.
+The head is one row of the platform's table. ``submission`` moves it to a higher
+number by compare-and-set; ``Follower`` decides which bundle an instance puts in
+force.
 
-Promise: the head's number only grows; of two operators who race, one wins and
-the other gets a conflict that names the winner; an instance never puts a lower
-number in force than it had. Assumes that the table keeps its word on
-conditions and that operators' private keys are kept.
+Guarantees: the head's number only increases; of two concurrent submissions, one
+succeeds and the other fails with a conflict that names the winner; an instance
+never puts a lower number in force than before. Assumes that the table honours
+conditional writes and that the operators' private keys are not compromised.
 
-Not promised: that an instance which starts alone, cut off from the platform
-and from every peer, knows the newest bundle; it does not serve then.
+Not guaranteed: that an instance that starts while cut off from the platform and
+from every peer knows the newest bundle. Such an instance does not serve.
 """
 
 from __future__ import annotations
@@ -33,8 +33,9 @@
 
     Attributes:
         number: The bundle's number.
-        object_key: Where its envelope lies in the object store.
-        submission_id: Unique to one submission; settles lost answers.
+        object_key: Key of its envelope in the object store.
+        submission_id: Unique to one submission; shows after a lost response
+            whether the submission took effect.
     """
 
     number: int
@@ -51,28 +52,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Superseded:
-    """Another bundle is ahead; ``winner`` names it."""
+    """Another submission won; ``winner`` is its head."""
 
     winner: Head
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadBack:
-    """The answer is lost: read the row, then ``after_read``."""
+    """The response was lost; read the row and call ``after_read``."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotApplied:
-    """The platform refused; nothing changed."""
+    """The submission failed without any effect."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Resubmit:
-    """Undecided, as the write may still arrive: send the same write again.
+    """Undecided, as the write may still arrive; send the same write again.
 
-    Its condition makes the second of the two fail.
+    At most one of the two succeeds, as both have the same condition.
     """
 
 
@@ -80,7 +81,7 @@
 
 
 def decode(value: Any) -> Head | None:
-    """Reads a head from a row's content; None if it is malformed."""
+    """Decodes a head from the value of a row; None if it is malformed."""
     try:
         return Head(
             number=int(value["number"]),
@@ -92,7 +93,7 @@
 
 
 def history_row(number: int) -> str:
-    """Returns the row that keeps what the head was at a number."""
+    """Returns the key of the row that stores the head with a number."""
     return f"{HISTORY_PREFIX}{number}"
 
 
@@ -101,20 +102,20 @@
 ) -> tuple[messages.Write, ...]:
     """Returns the transaction that moves the head by compare-and-set.
 
-    It also keeps the head in the history, from which a rollback is made.
+    It also stores the head in the history, which rollbacks read.
 
     Args:
         head: The new head.
-        current: The row as read before; None if there is none.
+        current: The row as last read; None if it does not exist.
 
     Raises:
         ValueError: The new number is not above the current one.
     """
     if current is not None:
-        before = decode(current.value)
-        if before is not None and before.number >= head.number:
+        previous = decode(current.value)
+        if previous is not None and previous.number >= head.number:
             raise ValueError(
-                f"number is {head.number}, allowed: above {before.number}"
+                f"number is {head.number}, allowed: above {previous.number}"
             )
     value = dataclasses.asdict(head)
     return (
@@ -133,14 +134,14 @@
         tuple[int, ...], errors.Conflict | errors.Unavailable
     ],
 ) -> Step:
-    """Decides what follows from the answer to a submission."""
+    """Determines the next step after the response to a submission."""
     if isinstance(answer, result.Ok):
         return Committed(head=head)
-    problem = answer.err_value
-    if isinstance(problem, errors.Conflict):
-        return _compare(head, problem.failed[0].value)
-    if problem.effect is errors.Effect.NONE:
-        return NotApplied(detail=problem.detail)
+    error = answer.err_value
+    if isinstance(error, errors.Conflict):
+        return _compare(head, error.failed[0].value)
+    if error.effect is errors.Effect.NONE:
+        return NotApplied(detail=error.detail)
     return ReadBack()
 
 
@@ -150,15 +151,16 @@
     *,
     if_version: int | None,
 ) -> Step:
-    """Decides what follows from reading the head back.
+    """Determines the next step after the head was read back.
 
-    A head that is still as the submission expects it proves nothing: the
-    write may be on its way. Only another version shows that it lost.
+    A row that still has the version expected by the submission proves nothing,
+    as the write may still be in flight. Only another version shows whether the
+    submission won or lost.
 
     Args:
         head: The head that was submitted.
-        answer: What the table answered.
-        if_version: The version that the submission expects.
+        answer: The table's response.
+        if_version: Version on which the submission is conditional.
     """
     if isinstance(answer, result.Ok):
         row = answer.ok_value
@@ -171,16 +173,16 @@
 
 
 def _compare(head: Head, value: Any) -> Step:
-    found = decode(value)
-    if found is None:
+    stored = decode(value)
+    if stored is None:
         return NotApplied(detail=f"the head row is malformed: {value!r}")
-    if found.submission_id == head.submission_id:
+    if stored.submission_id == head.submission_id:
         return Committed(head=head)
-    return Superseded(winner=found)
+    return Superseded(winner=stored)
 
 
 class Follower:
-    """Which head an instance should fetch, and what it may put in force.
+    """Tracks the head to fetch next and the bundle in force on an instance.
 
     Example:
         >>> follower = Follower()
@@ -192,7 +194,7 @@
 
     def __init__(self):
         self._in_force = 0
-        self._wanted: Head | None = None
+        self._pending: Head | None = None
         self._rejected: set[str] = set()
 
     @property
@@ -202,28 +204,28 @@
 
     @property
     def pending(self) -> Head | None:
-        """The head to fetch next; None if there is nothing newer."""
-        return self._wanted
+        """The head to fetch next; None if no newer one is known."""
+        return self._pending
 
     def observe(self, head: Head) -> bool:
-        """Takes a head from any source; tells whether it should be fetched."""
+        """Records a head from any source; returns whether to fetch it."""
         if head.number <= self._in_force or head.object_key in self._rejected:
             return False
-        if self._wanted is None or head.number > self._wanted.number:
-            self._wanted = head
+        if self._pending is None or head.number > self._pending.number:
+            self._pending = head
         return True
 
     def adopt(self, number: int) -> bool:
-        """Puts a verified bundle in force unless that would go back."""
+        """Marks a verified bundle as in force unless its number is not higher."""
         if number <= self._in_force:
             return False
         self._in_force = number
-        if self._wanted is not None and self._wanted.number <= number:
-            self._wanted = None
+        if self._pending is not None and self._pending.number <= number:
+            self._pending = None
         return True
 
     def reject(self, head: Head) -> None:
-        """Remembers that a head's bundle does not verify."""
+        """Records that a head's bundle failed verification."""
         self._rejected.add(head.object_key)
-        if self._wanted == head:
-            self._wanted = None
+        if self._pending == head:
+            self._pending = None
--- a/irisshelf/coordination/heartbeats.py
+++ b/irisshelf/coordination/heartbeats.py
@@ -1,4 +1,7 @@
-"""Who has been heard of how lately: beats, passed on with their age."""
+"""Table of the latest heartbeat of every instance.
+
+Heartbeats are relayed from instance to instance together with their age.
+"""
 
 from __future__ import annotations
 
@@ -6,60 +9,62 @@
 
 from irisshelf.coordination import gossip_messages as messages
 
-_HALF = messages.HEARTBEAT_MODULUS // 2
+_HALF_MODULUS = messages.HEARTBEAT_MODULUS // 2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Latest:
-    """The latest beat of an instance, and when it was made."""
+class _Entry:
+    """The latest heartbeat of an instance and the time at which it was made."""
 
     counter: int
     made_s: float
 
 
 class HeartbeatTable:
-    """The latest beat of every instance, by the hash of its name.
+    """The latest heartbeat of every instance, keyed by the hash of its name.
 
     Args:
-        me: The name of this instance, whose beats are not followed.
+        me: Name of this instance, whose own heartbeats are ignored.
 
     Example:
-        >>> beats = Beats(me="a")
-        >>> beats.record_direct("b", 7, 10.0)
-        >>> beats.age_s("b", 12.5)
+        >>> table = HeartbeatTable(me="a")
+        >>> table.record_direct("b", 7, 10.0)
+        >>> table.age_s("b", 12.5)
         2.5
     """
 
     def __init__(self, *, me: str):
-        self._latest: dict[int, _Latest] = {}
+        self._entries: dict[int, _Entry] = {}
         self._hashes: dict[str, int] = {}
-        self._me = self._hash(me)
+        self._own_hash = self._hash(me)
 
-    def record_relayed(self, told: messages.Heartbeat, now: float) -> None:
-        """Takes a beat that somebody passes on."""
-        self._put(told.name_hash, told.counter, now - told.age_s)
+    def record_relayed(self, heartbeat: messages.Heartbeat, now: float) -> None:
+        """Records a heartbeat that another instance relays."""
+        self._record(
+            heartbeat.name_hash, heartbeat.counter, now - heartbeat.age_s
+        )
 
     def record_direct(self, name: str, counter: int, now: float) -> None:
-        """Takes a beat from the instance itself."""
-        self._put(self._hash(name), counter, now)
+        """Records a heartbeat received from the instance itself."""
+        self._record(self._hash(name), counter, now)
 
     def age_s(self, name: str, now: float) -> float | None:
-        """Returns how long ago an instance made its latest beat.
+        """Returns the age of an instance's latest heartbeat.
 
         Returns:
-            Seconds, or None for an instance that was never heard of.
+            Seconds, or None if no heartbeat of the instance is known.
         """
-        latest = self._latest.get(self._hash(name))
-        return None if latest is None else now - latest.made_s
+        entry = self._entries.get(self._hash(name))
+        return None if entry is None else now - entry.made_s
 
     def freshest(
         self, now: float, max_age_s: float
     ) -> tuple[messages.Heartbeat, ...]:
-        """Returns the freshest beats to pass on, none older than an age."""
+        """Returns the most recent heartbeats up to an age, for relaying."""
         ranked = sorted(
-            (latest.made_s, name_hash, latest.counter)
-            for name_hash, latest in self._latest.items()
-            if now - latest.made_s <= max_age_s
+            (entry.made_s, name_hash, entry.counter)
+            for name_hash, entry in self._entries.items()
+            if now - entry.made_s <= max_age_s
         )
         return tuple(
             messages.Heartbeat(
@@ -71,32 +76,35 @@
         )
 
     def forget(self, name: str) -> None:
-        """Forgets an instance that has started anew."""
-        self._latest.pop(self._hash(name), None)
+        """Removes an instance that has restarted."""
+        self._entries.pop(self._hash(name), None)
 
     def expire(self, now: float, max_age_s: float) -> None:
-        """Forgets instances that have been silent for longer."""
-        self._latest = {
-            name_hash: latest
-            for name_hash, latest in self._latest.items()
-            if now - latest.made_s <= max_age_s
+        """Removes instances whose latest heartbeat is older than an age."""
+        self._entries = {
+            name_hash: entry
+            for name_hash, entry in self._entries.items()
+            if now - entry.made_s <= max_age_s
         }
 
-    def _put(self, name_hash: int, counter: int, made_s: float) -> None:
-        """Keeps a beat if it is ahead of the one known, modulo its size."""
-        if name_hash == self._me:
+    def _record(self, name_hash: int, counter: int, made_s: float) -> None:
+        """Stores a heartbeat that is newer than the known one.
+
+        Counters are compared by serial number arithmetic, as they wrap around.
+        """
+        if name_hash == self._own_hash:
             return
         counter %= messages.HEARTBEAT_MODULUS
-        known = self._latest.get(name_hash)
+        known = self._entries.get(name_hash)
         if known is not None:
             ahead = (counter - known.counter) % messages.HEARTBEAT_MODULUS
-            if not 0 < ahead < _HALF:
+            if not 0 < ahead < _HALF_MODULUS:
                 return
-        self._latest[name_hash] = _Latest(counter=counter, made_s=made_s)
+        self._entries[name_hash] = _Entry(counter=counter, made_s=made_s)
 
     def _hash(self, name: str) -> int:
-        found = self._hashes.get(name)
-        if found is None:
-            found = messages.name_hash(name)
-            self._hashes[name] = found
-        return found
+        name_hash = self._hashes.get(name)
+        if name_hash is None:
+            name_hash = messages.name_hash(name)
+            self._hashes[name] = name_hash
+        return name_hash
--- a/irisshelf/coordination/local_membership.py
+++ b/irisshelf/coordination/local_membership.py
@@ -1,8 +1,9 @@
-"""The instances of an instance's own data centre, if it knows them well enough.
+"""Instances of this instance's own data centre, once they are known reliably.
 
-What is shared out among them by a ranking without messages holds only as far as
-all rank the same ones. Who has just started, slept, or lost sight of most of
-the others may know far fewer than there are, and would take their shares on.
+Work is divided among them by rendezvous ranking without messages, which is
+correct only if all instances rank the same members. An instance that has just
+started, was suspended, or has lost contact with most of the others may know far
+fewer members than there are and would take over the others' shares.
 """
 
 from __future__ import annotations
@@ -10,18 +11,19 @@
 from irisshelf.coordination import fleet_size
 from irisshelf.coordination import membership as membership_module
 
-# Instances ask for each other every 2.5 s, and each has told its name by then.
+# Instances query each other every 2.5 s and announce their own name in the
+# query, so that within this time each has heard of all others.
 DISCOVERY_TIME_S = 5.0
 
 
 class LocalMembership:
-    """The instances of the own data centre.
+    """Instances of the own data centre.
 
     Args:
-        membership: The instances that are known.
-        alone: Whether there is nobody to ask for others, so that this instance
-            is the only one until it hears of another.
-        began_s: When this instance began.
+        membership: All known instances.
+        alone: Whether no other instance is configured to be queried, so that
+            this instance is the only one until another contacts it.
+        began_s: Start time of this instance.
     """
 
     def __init__(
@@ -34,24 +36,25 @@
         self._membership = membership
         self._alone = alone
         self._began_s = began_s
-        self._sizes = fleet_size.FleetSize(alone=True)
+        self._size = fleet_size.FleetSize(alone=True)
 
     def names(self, now: float) -> tuple[str, ...]:
-        """Returns their names, the own one included, in a fixed order.
+        """Returns the sorted names of the instances, this one included.
 
-        Empty if they are not known well enough. To be called every few seconds,
-        as what was known a minute ago counts.
+        The result is empty if the instances are not known reliably. Must be
+        called every few seconds, as the check uses the largest number of
+        instances known within the last minute.
         """
         own = self._membership.own
         others = self._membership.members(own.data_centre, now)
-        found = sorted([own.name, *(member.name for member, _ in others)])
-        self._sizes.record(len(found), now)
+        names = sorted([own.name, *(member.name for member, _ in others)])
+        self._size.record(len(names), now)
         if self._alone:
-            return tuple(found)
+            return tuple(names)
         if now - self._began_s < DISCOVERY_TIME_S:
             return ()
-        if 2 * len(found) < (self._sizes.estimate(now) or 1):
+        if 2 * len(names) < (self._size.estimate(now) or 1):
             return ()
         if not others and not self._membership.remote_members(now):
             return ()
-        return tuple(found)
+        return tuple(names)
--- a/irisshelf/coordination/token_bucket.py
+++ b/irisshelf/coordination/token_bucket.py
@@ -1,31 +1,34 @@
-"""A budget of bytes that a sender enforces on itself."""
+"""Token bucket by which a sender limits its own traffic."""
 
 from __future__ import annotations
 
-BUDGET_BYTES_PER_S = 1600.0  # Of 2 KB/s; the rest is polls and probes.
+# Of an instance's 2 KB/s; the remainder is left for polls and probes.
+BUDGET_BYTES_PER_S = 1600.0
 _BURST_S = 2.0
 
 
 class TokenBucket:
-    """Bytes that may be sent, as a token bucket.
+    """Limits the bytes that may be sent; one token is one byte.
+
+    The level may become negative, as a message is counted after the check.
 
     Args:
-        bytes_per_s: Rate.
+        bytes_per_s: Refill rate.
     """
 
     def __init__(self, *, bytes_per_s: float = BUDGET_BYTES_PER_S):
         self._rate = bytes_per_s
-        self._left = bytes_per_s * _BURST_S
-        self._at_s: float | None = None
+        self._tokens = bytes_per_s * _BURST_S
+        self._refilled_s: float | None = None
 
     def has_tokens(self, now: float) -> bool:
-        """Tells whether anything may be sent now."""
-        if self._at_s is not None:
-            grown = self._left + (now - self._at_s) * self._rate
-            self._left = min(self._rate * _BURST_S, grown)
-        self._at_s = now
-        return self._left > 0
+        """Refills the bucket and returns whether anything may be sent now."""
+        if self._refilled_s is not None:
+            refilled = self._tokens + (now - self._refilled_s) * self._rate
+            self._tokens = min(self._rate * _BURST_S, refilled)
+        self._refilled_s = now
+        return self._tokens > 0
 
     def consume(self, size: int) -> None:
-        """Counts bytes that were sent."""
-        self._left -= size
+        """Removes tokens for bytes that were sent."""
+        self._tokens -= size
