--- a/irisshelf/coordination/__init__.py
+++ b/irisshelf/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols by which instances coordinate; pure logic without input or output."""
+"""Coordination protocols between instances, without input or output."""
--- a/irisshelf/coordination/fleet_size.py
+++ b/irisshelf/coordination/fleet_size.py
@@ -5,7 +5,7 @@
 import collections
 
 # Network partitions last seconds, and the instances cut off know of the fewest
-# others. After a longer absence, an instance's share goes to the remaining ones.
+# others. After a longer absence, an instance's share goes to the others.
 _WINDOW_S = 60.0
 
 
--- a/irisshelf/coordination/gossip.py
+++ b/irisshelf/coordination/gossip.py
@@ -1,20 +1,23 @@
-"""What instances tell each other: who lives, how loaded, which bundle.
-
-Each instance keeps one record of itself and makes it newer every tick. A tick
-sends it to a few partners in the data centre, chosen at random, together with
-the beats of all others, six bytes each: so all know who lives in a few
-ticks at any size, while loads reach a sample of instances a second, which is
-enough for their mean. The first few instances of a data centre
-by name's rank, no one special, also exchange sums with another data centre.
-
-An instance without a newer beat for ``ASK_AFTER_S`` is asked. One whose beat
-has not become newer for ``SUSPECT_S`` is suspect,
-after ``DEAD_S`` it is dead, to this observer alone: no observer throws
-another out. A paused instance that comes back is alive again with its next
-beat. A restart has a higher incarnation; an old life's records are ignored.
-
-Promise: no message exceeds ``MAX_RECORDS`` records and no instance sends more
-than its byte budget. Not promised: that two instances have the same view.
+"""Gossip between instances: liveness, loads and the bundle head.
+
+Each instance maintains one record of itself and increments its heartbeat every
+tick. In each tick it sends the record to a few randomly chosen peers in its
+data centre, together with the heartbeats of all other instances, six bytes
+each. Liveness thus spreads to all instances within a few ticks at any fleet
+size, while loads reach a sample of the instances each second, which is enough
+to estimate their mean. In each data centre, a few representatives, the first by
+a hash of their names, also exchange load sums with another data centre.
+
+An instance without a newer heartbeat for ``PROBE_AFTER_S`` is probed. One
+without a newer heartbeat for ``SUSPECT_AFTER_S`` is suspected, and after
+``DEAD_AFTER_S`` it is considered dead, but by this observer alone: no observer
+evicts an instance for others. A paused instance that resumes is alive again
+with its next heartbeat. A restarted instance has a higher incarnation, and
+records of earlier incarnations are ignored.
+
+Guarantee: no message contains more than ``MAX_RECORDS`` records, and no
+instance sends more than its byte budget. Not guaranteed: that two instances
+have the same view.
 """
 
 from __future__ import annotations
@@ -31,7 +34,7 @@
 
 TICK_S = 0.5
 FANOUT = 2
-REMOTE_INTERVAL_TICKS = 2  # Ticks between messages to other data centres.
+REMOTE_INTERVAL_TICKS = 2  # Between messages to other data centres.
 PROBE_AFTER_S = 1.0
 MAX_PROBES = 4
 SUSPECT_AFTER_S = 2.0
@@ -46,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Peer:
-    """Another instance as the platform's list knows it."""
+    """Another instance from the platform's list of nodes."""
 
     name: str
     data_centre: str
@@ -61,29 +64,30 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Held:
+class _StoredRecord:
     record: messages.InstanceRecord
-    heard_s: float
+    received_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _HeldSummary:
+class _StoredSummary:
     summary: messages.LoadSummary
     made_s: float
 
 
 class Gossip:
-    """One instance's side of the exchange.
+    """Gossip state machine of one instance.
 
     Args:
-        name: This instance.
-        data_centre: Where it stands.
-        incarnation: Grows with each start, such as the wall clock in
-            milliseconds.
-        first_heartbeat: Where beats start; from the wall clock, so that a new
-            life's beats are ahead of an old one's that are still passed on.
-        rng: Chooses partners.
-        budget: Bytes that may be sent.
+        name: Name of this instance.
+        data_centre: Data centre of this instance.
+        incarnation: A number that increases with each start, such as the wall
+            clock in milliseconds.
+        first_heartbeat: Initial heartbeat counter. It is derived from the wall
+            clock, so that heartbeats after a restart are ahead of earlier ones
+            that are still being relayed.
+        rng: Chooses the peers to send to.
+        budget: Limits the bytes sent.
     """
 
     def __init__(
@@ -102,11 +106,11 @@
         self._rng = rng
         self._budget = budget
         self._peers: dict[str, Peer] = {}
-        self._held: dict[str, _Held] = {}
+        self._records: dict[str, _StoredRecord] = {}
         self._heartbeats = heartbeats.HeartbeatTable(me=name)
-        self._summaries: dict[str, _HeldSummary] = {}
+        self._summaries: dict[str, _StoredSummary] = {}
         self._head = _NO_HEAD
-        self._head_heard_s = float("-inf")
+        self._head_updated_s = float("-inf")
         self._own = messages.InstanceRecord(
             name=name,
             incarnation=incarnation,
@@ -117,11 +121,11 @@
 
     @property
     def head(self) -> messages.HeadHint:
-        """The highest bundle head heard of."""
+        """The highest bundle head known from any source."""
         return self._head
 
     def set_peers(self, peers: Sequence[Peer]) -> None:
-        """Takes the platform's list of instances, without this one."""
+        """Sets the platform's list of instances, without this one."""
         self._peers = {peer.name: peer for peer in peers}
 
     def set_local_state(
@@ -132,67 +136,70 @@
         head: messages.HeadHint,
         now: float,
     ) -> None:
-        """Sets what this instance says of itself from now on."""
+        """Sets what this instance announces about itself."""
         self._own = dataclasses.replace(
             self._own, loads=tuple(loads), leaving=leaving
         )
-        self._take_head(head, now)
+        self._merge_head(head, now)
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Makes the own record newer and sends what the budget allows."""
+        """Increments the heartbeat; returns messages to send, within budget."""
         self._own = dataclasses.replace(
             self._own, heartbeat=self._own.heartbeat + 1
         )
-        self._forget(now)
+        self._evict(now)
         outgoing = []
-        for place, partner in enumerate(self._partners(now)):
+        for index, peer in enumerate(self._choose_peers(now)):
             if not self._budget.has_tokens(now):
                 break
-            # A near partner tells of itself anyway; a far one is asked.
-            near = self._peers[partner].data_centre == self.data_centre
-            message = self._message(now, near=near, wants_reply=not near)
-            if near and (place or self._own.heartbeat % 2):
-                # What others said goes to one partner every second tick.
+            # A local peer sends its record in its own ticks; a remote one has
+            # to be asked for its summary.
+            local = self._peers[peer].data_centre == self.data_centre
+            message = self._message(now, local=local, wants_reply=not local)
+            if local and (index or self._own.heartbeat % 2):
+                # Records of others are relayed to one peer every second tick.
                 message = dataclasses.replace(
                     message,
                     records=(self._own,),
                     summaries=(),
-                    head=self._head if self._head_is_new(now) else _NO_HEAD,
+                    head=self._head if self._head_is_recent(now) else _NO_HEAD,
                 )
             self._budget.consume(messages.size_of(message))
-            outgoing.append(OutgoingMessage(to=partner, message=message))
-        for silent in self._silent(now):
+            outgoing.append(OutgoingMessage(to=peer, message=message))
+        for silent in self._silent_peers(now):
             if not self._budget.has_tokens(now):
                 break
-            question = self._probe_message(wants_reply=True)
-            self._budget.consume(messages.size_of(question))
-            outgoing.append(OutgoingMessage(to=silent, message=question))
+            probe = self._probe_message(wants_reply=True)
+            self._budget.consume(messages.size_of(probe))
+            outgoing.append(OutgoingMessage(to=silent, message=probe))
         return outgoing
 
     def receive(
         self, message: messages.Message, now: float
     ) -> messages.Message | None:
-        """Takes a message; returns the answer to it, if one is due."""
+        """Processes a message; returns the reply to it, if one is due."""
         if message.sender == self.name:
             return None
-        self._take_head(message.head, now)
+        self._merge_head(message.head, now)
         for record in message.records:
-            self._take_record(record, now, direct=record.name == message.sender)
+            self._merge_record(
+                record, now, direct=record.name == message.sender
+            )
         for heartbeat in message.heartbeats:
             self._heartbeats.record_relayed(heartbeat, now)
         for summary in message.summaries:
-            self._take_summary(summary, now)
+            self._merge_summary(summary, now)
         if not message.wants_reply or not self._budget.has_tokens(now):
             return None
         if message.data_centre == self.data_centre:
-            answer = self._probe_message(wants_reply=False)
+            reply = self._probe_message(wants_reply=False)
         else:
-            answer = self._message(now, near=False, wants_reply=False)
-        self._budget.consume(messages.size_of(answer))
-        return answer
+            reply = self._message(now, local=False, wants_reply=False)
+        self._budget.consume(messages.size_of(reply))
+        return reply
 
     def status(self, name: str, now: float) -> messages.Status:
-        """Returns what this instance thinks of another one."""
+        """Returns the liveness of an instance as this one observes it."""
         if name == self.name:
             return messages.Status.ALIVE
         silent_s = self._heartbeats.age_s(name, now)
@@ -200,67 +207,70 @@
             return messages.Status.UNKNOWN
         if silent_s > DEAD_AFTER_S:
             return messages.Status.DEAD
-        held = self._held.get(name)
-        if held is not None and held.record.leaving:
+        stored = self._records.get(name)
+        if stored is not None and stored.record.leaving:
             return messages.Status.LEAVING
         if silent_s > SUSPECT_AFTER_S:
             return messages.Status.SUSPECT
         return messages.Status.ALIVE
 
     def live_local_instances(self, now: float) -> list[str]:
-        """Returns live instances of this data centre, with this one."""
+        """Returns the live instances of this data centre, sorted by name.
+
+        This instance is included unless it is leaving.
+        """
         found = [self.name] if not self._own.leaving else []
-        for name in self._near_names():
+        for name in self._local_names():
             if self.status(name, now) in messages.LIVE_STATUSES:
                 found.append(name)
         return sorted(found)
 
     def load_of_others(self, service: str, now: float) -> messages.Load:
-        """Sums what all other instances say of a service's engines.
+        """Returns the total load that all other instances report for a service.
 
-        Other data centres count by their sums; one not heard of for
-        ``SUMMARY_OLD_S`` is left out, as its engines cannot be reached or
-        are not known.
+        Other data centres are included by their summaries. A summary older than
+        ``SUMMARY_MAX_AGE_S`` is left out, as the engines of that data centre
+        cannot be reached or are not known.
         """
         loads = [
             load
-            for name, held in self._held.items()
+            for name, stored in self._records.items()
             if self.status(name, now) != messages.Status.DEAD
-            for load in held.record.loads
+            for load in stored.record.loads
         ]
-        for held in self._summaries.values():
-            if now - held.made_s <= SUMMARY_MAX_AGE_S:
-                loads += held.summary.loads
+        for stored in self._summaries.values():
+            if now - stored.made_s <= SUMMARY_MAX_AGE_S:
+                loads += stored.summary.loads
         return _sum(service, [x for x in loads if x.service == service])
 
-    def _near_names(self) -> list[str]:
-        """Instances of this data centre that anybody has told of."""
+    def _local_names(self) -> list[str]:
+        """Returns this data centre's other instances known from any source."""
         names = {
             name
             for name, peer in self._peers.items()
             if peer.data_centre == self.data_centre
         }
-        return sorted(names | self._held.keys())
+        return sorted(names | self._records.keys())
 
-    def _partners(self, now: float) -> list[str]:
-        near = [name for name in self._near_names() if name in self._peers]
+    def _choose_peers(self, now: float) -> list[str]:
+        local = [name for name in self._local_names() if name in self._peers]
         live = [
             name
-            for name in near
+            for name in local
             if self.status(name, now) is not messages.Status.DEAD
         ]
         chosen = self._rng.sample(live, min(FANOUT, len(live)))
-        far = self._far_partner(now)
-        if far is not None:
-            chosen.append(far)
-        dead = [name for name in near if name not in live]
+        remote = self._choose_remote_peer(now)
+        if remote is not None:
+            chosen.append(remote)
+        dead = [name for name in local if name not in live]
         if dead and self._rng.random() < TICK_S / DEAD_AFTER_S:
-            # It may live behind a cut that has healed.
+            # It may be alive again after a network partition has healed.
             chosen.append(self._rng.choice(dead))
         return chosen
 
-    def _far_partner(self, now: float) -> str | None:
-        """Another data centre's instance, if this one represents its own."""
+    def _choose_remote_peer(self, now: float) -> str | None:
+        """Returns a peer elsewhere if this instance is a representative."""
         if self._own.heartbeat % REMOTE_INTERVAL_TICKS:
             return None
         ranked = sorted(
@@ -269,26 +279,28 @@
         )
         if self.name not in ranked[:REPRESENTATIVE_COUNT]:
             return None
-        far = [
+        remote = [
             name
             for name, peer in self._peers.items()
             if peer.data_centre != self.data_centre
         ]
-        return self._rng.choice(sorted(far)) if far else None
+        return self._rng.choice(sorted(remote)) if remote else None
 
     def _message(
-        self, now: float, *, near: bool, wants_reply: bool
+        self, now: float, *, local: bool, wants_reply: bool
     ) -> messages.Message:
         fresh = sorted(
-            self._held.values(), key=lambda held: held.heard_s, reverse=True
+            self._records.values(),
+            key=lambda stored: stored.received_s,
+            reverse=True,
         )
         records = [self._own]
         records += [
-            held.record
-            for held in fresh[: MAX_RECORDS - 1]
-            if now - held.heard_s <= DEAD_AFTER_S
+            stored.record
+            for stored in fresh[: MAX_RECORDS - 1]
+            if now - stored.received_s <= DEAD_AFTER_S
         ]
-        if not near:
+        if not local:
             records = []
         return messages.Message(
             version=messages.VERSION,
@@ -297,14 +309,14 @@
             wants_reply=wants_reply,
             head=self._head,
             records=tuple(records),
-            summaries=self._told_summaries(now, near=near),
+            summaries=self._summaries_for(now, local=local),
             heartbeats=self._heartbeats.freshest(now, DEAD_AFTER_S)
-            if near
+            if local
             else (),
         )
 
     def _probe_message(self, *, wants_reply: bool) -> messages.Message:
-        """Asks a silent instance whether it lives, or answers that."""
+        """Returns a probe of a silent instance, or the reply to a probe."""
         return messages.Message(
             version=messages.VERSION,
             sender=self.name,
@@ -315,10 +327,10 @@
             summaries=(),
         )
 
-    def _silent(self, now: float) -> list[str]:
-        """Near instances without fresh beats, the most silent first."""
+    def _silent_peers(self, now: float) -> list[str]:
+        """Returns local peers without recent heartbeats, the oldest first."""
         found = []
-        for name in self._near_names():
+        for name in self._local_names():
             silent_s = self._heartbeats.age_s(name, now)
             if silent_s is None or name not in self._peers:
                 continue
@@ -327,22 +339,22 @@
         found.sort(reverse=True)
         return [name for _, name in found[:MAX_PROBES]]
 
-    def _told_summaries(
-        self, now: float, *, near: bool
+    def _summaries_for(
+        self, now: float, *, local: bool
     ) -> tuple[messages.LoadSummary, ...]:
-        """Tells far instances our sum, near ones of one other data centre."""
-        if not near:
+        """Returns the own summary for remote peers, a remote one for others."""
+        if not local:
             return (self._own_summary(now),)
         known = sorted(
-            place
-            for place, held in self._summaries.items()
-            if now - held.made_s <= SUMMARY_MAX_AGE_S
+            data_centre
+            for data_centre, stored in self._summaries.items()
+            if now - stored.made_s <= SUMMARY_MAX_AGE_S
         )
         if not known:
             return ()
-        held = self._summaries[self._rng.choice(known)]
-        age_s = now - held.made_s
-        return (dataclasses.replace(held.summary, age_s=age_s),)
+        stored = self._summaries[self._rng.choice(known)]
+        age_s = now - stored.made_s
+        return (dataclasses.replace(stored.summary, age_s=age_s),)
 
     def _own_summary(self, now: float) -> messages.LoadSummary:
         by_service: dict[str, list[messages.Load]] = collections.defaultdict(
@@ -350,8 +362,8 @@
         )
         records = [self._own]
         records += [
-            held.record
-            for name, held in self._held.items()
+            stored.record
+            for name, stored in self._records.items()
             if self.status(name, now) != messages.Status.DEAD
         ]
         for record in records:
@@ -365,32 +377,34 @@
             ),
         )
 
-    def _take_head(self, head: messages.HeadHint, now: float) -> None:
+    def _merge_head(self, head: messages.HeadHint, now: float) -> None:
         if head.number > self._head.number:
             self._head = head
-            self._head_heard_s = now
+            self._head_updated_s = now
 
-    def _head_is_new(self, now: float) -> bool:
-        """Tells whether the head goes into every message for a while."""
-        return now - self._head_heard_s <= HEAD_ANNOUNCE_S
+    def _head_is_recent(self, now: float) -> bool:
+        """Returns whether the head is recent enough to be in every message."""
+        return now - self._head_updated_s <= HEAD_ANNOUNCE_S
 
-    def _take_record(
+    def _merge_record(
         self, record: messages.InstanceRecord, now: float, *, direct: bool
     ) -> None:
         if record.name == self.name:
-            self._defend(record)
+            self._refute(record)
             return
         peer = self._peers.get(record.name)
         if peer is not None and peer.data_centre != self.data_centre:
-            return  # Known through its data centre's sum.
-        held = self._held.get(record.name)
-        if held is None or _newer(record, held.record):
-            if held is not None and not record.loads:
-                record = dataclasses.replace(record, loads=held.record.loads)
-            self._held[record.name] = _Held(record=record, heard_s=now)
+            return  # Known through its data centre's summary.
+        stored = self._records.get(record.name)
+        if stored is None or _newer(record, stored.record):
+            if stored is not None and not record.loads:
+                record = dataclasses.replace(record, loads=stored.record.loads)
+            self._records[record.name] = _StoredRecord(
+                record=record, received_s=now
+            )
             restarted = (
-                held is not None
-                and record.incarnation > held.record.incarnation
+                stored is not None
+                and record.incarnation > stored.record.incarnation
             )
             if restarted:
                 self._heartbeats.forget(record.name)
@@ -399,11 +413,11 @@
                     record.name, record.heartbeat, now
                 )
 
-    def _defend(self, record: messages.InstanceRecord) -> None:
-        """Outbids a record of our name that we did not make.
+    def _refute(self, record: messages.InstanceRecord) -> None:
+        """Refutes a record with this instance's name that it did not make.
 
-        Either our clock stands behind that of our former life, or another
-        instance has the same name; the count tells operators.
+        Either its clock is behind that of an earlier incarnation, or another
+        instance has the same name. Operators are shown the count.
         """
         if _newer(record, self._own):
             self.name_conflicts += 1
@@ -411,22 +425,24 @@
                 self._own, incarnation=record.incarnation + 1
             )
 
-    def _take_summary(self, summary: messages.LoadSummary, now: float) -> None:
+    def _merge_summary(self, summary: messages.LoadSummary, now: float) -> None:
         if summary.data_centre == self.data_centre:
             return
         made_s = now - summary.age_s
-        held = self._summaries.get(summary.data_centre)
-        if held is None or made_s > held.made_s:
-            self._summaries[summary.data_centre] = _HeldSummary(
+        stored = self._summaries.get(summary.data_centre)
+        if stored is None or made_s > stored.made_s:
+            self._summaries[summary.data_centre] = _StoredSummary(
                 summary=summary, made_s=made_s
             )
 
-    def _forget(self, now: float) -> None:
-        old = [
-            n for n, h in self._held.items() if now - h.heard_s > EVICT_AFTER_S
+    def _evict(self, now: float) -> None:
+        expired = [
+            name
+            for name, stored in self._records.items()
+            if now - stored.received_s > EVICT_AFTER_S
         ]
-        for name in old:
-            del self._held[name]
+        for name in expired:
+            del self._records[name]
         self._heartbeats.expire(now, EVICT_AFTER_S)
 
 
--- a/irisshelf/coordination/gossip_messages.py
+++ b/irisshelf/coordination/gossip_messages.py
@@ -1,8 +1,9 @@
-"""Messages between instances, and their form on the wire.
+"""Gossip messages and their wire format.
 
-A message is CBOR: short lists in place of maps, since every byte counts
-against an instance's 2 KB/s. The first item is the version; a message of
-another version, too long, or of another shape is refused whole.
+Messages are encoded as CBOR lists instead of maps to save bytes, as an
+instance's control traffic is limited to 2 KB/s. The first item is the version.
+A message that is too long, has another version or is malformed is rejected as a
+whole.
 """
 
 from __future__ import annotations
@@ -20,7 +21,8 @@
 MAX_FULL_ENGINES = 64
 MAX_LOADS = 16
 MAX_NAME_CHARS = 64
-# What decoding bytes from a peer may raise, of the library and of our checks.
+# Errors that decoding a peer's bytes may raise, from the library or the checks
+# in this module.
 DECODE_ERRORS = (
     cbor2.CBORError,
     ValueError,
@@ -37,11 +39,11 @@
 _COUNTER_BYTES = 2
 _AGE_BYTES = 1
 AGE_RESOLUTION_S = 0.05
-_MAX_AGE = 255
+_MAX_AGE_STEPS = 255
 
 
 class Status(enum.StrEnum):
-    """What one instance thinks of another."""
+    """Liveness of an instance as observed by another."""
 
     UNKNOWN = "unknown"
     ALIVE = "alive"
@@ -55,13 +57,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Load:
-    """Outstanding work on the engines of a service that somebody owns.
+    """Outstanding work on a service's engines that an instance owns.
 
     Attributes:
-        service: The service's name.
-        work: Sum of the work, in tokens.
-        engines: Number of those engines that take work.
-        full: Numbers of those at their bound, in the bundle's order.
+        service: Name of the service.
+        work: Total work in tokens.
+        engines: Number of these engines that accept work.
+        full_engines: Indices, in the bundle's order, of engines at their limit.
     """
 
     service: str
@@ -72,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstanceRecord:
-    """What an instance says of itself."""
+    """An instance's record of itself."""
 
     name: str
     incarnation: int
@@ -83,12 +85,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadSummary:
-    """Sum over a data centre's instances.
+    """Total loads of a data centre's instances.
 
     Attributes:
         data_centre: The data centre.
-        age_s: How long ago the sum was made; it may have come a long way.
-        loads: The sums by service.
+        age_s: Time since the totals were computed; they may have been relayed
+            several times.
+        loads: Total load of each service.
     """
 
     data_centre: str
@@ -98,14 +101,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """How fresh the sender's knowledge of an instance is.
+    """Age of the sender's latest information about an instance.
 
     Attributes:
-        name_hash: From ``name_hash``; a name would cost five times as much.
-        beat: The instance's beat, modulo ``BEAT_MODULUS``.
-        age_s: How long ago the instance made it, in steps of ``AGE_STEP_S``.
-            Without it, old beats would count as a sign of life each time that
-            it reaches somebody new.
+        name_hash: From ``name_hash``; a name would take five times as many
+            bytes.
+        counter: The instance's heartbeat, modulo ``HEARTBEAT_MODULUS``.
+        age_s: Time since the instance made the heartbeat, in steps of
+            ``AGE_RESOLUTION_S``. Without it, an old heartbeat would count as a
+            sign of life whenever it is relayed to another instance.
     """
 
     name_hash: int
@@ -115,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeadHint:
-    """The highest bundle head that the sender knows."""
+    """The highest bundle head known to the sender."""
 
     number: int
     object_key: str
@@ -123,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Message:
-    """One message."""
+    """A gossip message."""
 
     version: int
     sender: str
@@ -136,7 +140,7 @@
 
 
 def name_hash(name: str) -> int:
-    """Returns a name's hash of 24 bits, for beats."""
+    """Returns the 24-bit hash of a name for use in heartbeats."""
     digest = hashlib.blake2b(name.encode(), digest_size=_HASH_BYTES).digest()
     return int.from_bytes(digest, "big")
 
@@ -151,14 +155,20 @@
             message.wants_reply,
             [message.head.number, message.head.object_key],
             [
-                [r.name, r.incarnation, r.heartbeat, r.leaving, _loads(r.loads)]
+                [
+                    r.name,
+                    r.incarnation,
+                    r.heartbeat,
+                    r.leaving,
+                    _encode_loads(r.loads),
+                ]
                 for r in message.records
             ],
             [
                 [
                     s.data_centre,
                     round(s.age_s / AGE_RESOLUTION_S),
-                    _loads(s.loads),
+                    _encode_loads(s.loads),
                 ]
                 for s in message.summaries
             ],
@@ -168,7 +178,7 @@
 
 
 def size_of(message: Message) -> int:
-    """Returns the bytes that a message takes on the wire, frame included."""
+    """Returns a message's size on the wire in bytes, framing included."""
     return len(encode(message)) + 8
 
 
@@ -176,18 +186,18 @@
     """Decodes a message.
 
     Returns:
-        The message, or why it is refused.
+        The message, or the reason for its rejection.
     """
     if len(data) > MAX_BYTES:
         return result.Err(f"{len(data)} bytes, allowed: {MAX_BYTES}")
     try:
         items = cbor2.loads(data)
-        return _message(items)
+        return _decode_message(items)
     except DECODE_ERRORS as exc:
         return result.Err(f"{type(exc).__name__}: {exc}")
 
 
-def _message(items: Any) -> result.Result[Message, str]:
+def _decode_message(items: Any) -> result.Result[Message, str]:
     if not isinstance(items, list) or len(items) != 8:
         return result.Err("not a list of 8 items")
     if items[0] != VERSION:
@@ -196,12 +206,14 @@
     return result.Ok(
         Message(
             version=VERSION,
-            sender=_name(items[1]),
-            data_centre=_name(items[2]),
+            sender=_checked_name(items[1]),
+            data_centre=_checked_name(items[2]),
             wants_reply=bool(items[3]),
-            head=HeadHint(number=_count(number), object_key=str(object_key)),
-            records=tuple(_record(item) for item in items[5]),
-            summaries=tuple(_summary(item) for item in items[6]),
+            head=HeadHint(
+                number=_checked_count(number), object_key=str(object_key)
+            ),
+            records=tuple(_decode_record(item) for item in items[5]),
+            summaries=tuple(_decode_summary(item) for item in items[6]),
             heartbeats=_unpack_heartbeats(items[7]),
         )
     )
@@ -213,9 +225,9 @@
         + (heartbeat.counter % HEARTBEAT_MODULUS).to_bytes(
             _COUNTER_BYTES, "big"
         )
-        + min(_MAX_AGE, round(heartbeat.age_s / AGE_RESOLUTION_S)).to_bytes(
-            _AGE_BYTES, "big"
-        )
+        + min(
+            _MAX_AGE_STEPS, round(heartbeat.age_s / AGE_RESOLUTION_S)
+        ).to_bytes(_AGE_BYTES, "big")
         for heartbeat in heartbeats
     )
 
@@ -223,70 +235,72 @@
 def _unpack_heartbeats(packed: Any) -> tuple[Heartbeat, ...]:
     size = _HASH_BYTES + _COUNTER_BYTES + _AGE_BYTES
     if not isinstance(packed, bytes) or len(packed) % size:
-        raise ValueError("beats are not packed")
+        raise ValueError("heartbeats are not a byte string of whole entries")
     if len(packed) > MAX_HEARTBEATS * size:
         raise ValueError(
-            f"{len(packed) // size} beats, allowed: {MAX_HEARTBEATS}"
+            f"{len(packed) // size} heartbeats, allowed: {MAX_HEARTBEATS}"
         )
-    parts = [packed[i : i + size] for i in range(0, len(packed), size)]
+    chunks = [packed[i : i + size] for i in range(0, len(packed), size)]
     return tuple(
         Heartbeat(
-            name_hash=int.from_bytes(part[:_HASH_BYTES], "big"),
-            counter=int.from_bytes(part[_HASH_BYTES:-_AGE_BYTES], "big"),
-            age_s=part[-1] * AGE_RESOLUTION_S,
+            name_hash=int.from_bytes(chunk[:_HASH_BYTES], "big"),
+            counter=int.from_bytes(chunk[_HASH_BYTES:-_AGE_BYTES], "big"),
+            age_s=chunk[-1] * AGE_RESOLUTION_S,
         )
-        for part in parts
+        for chunk in chunks
     )
 
 
-def _record(item: Any) -> InstanceRecord:
+def _decode_record(item: Any) -> InstanceRecord:
     name, incarnation, heartbeat, leaving, loads = item
     return InstanceRecord(
-        name=_name(name),
-        incarnation=_count(incarnation),
-        heartbeat=_count(heartbeat),
+        name=_checked_name(name),
+        incarnation=_checked_count(incarnation),
+        heartbeat=_checked_count(heartbeat),
         leaving=bool(leaving),
-        loads=_load_list(loads),
+        loads=_decode_loads(loads),
     )
 
 
-def _summary(item: Any) -> LoadSummary:
+def _decode_summary(item: Any) -> LoadSummary:
     data_centre, age, loads = item
     return LoadSummary(
-        data_centre=_name(data_centre),
-        age_s=_count(age) * AGE_RESOLUTION_S,
-        loads=_load_list(loads),
+        data_centre=_checked_name(data_centre),
+        age_s=_checked_count(age) * AGE_RESOLUTION_S,
+        loads=_decode_loads(loads),
     )
 
 
-def _loads(loads: tuple[Load, ...]) -> list[list[Any]]:
+def _encode_loads(loads: tuple[Load, ...]) -> list[list[Any]]:
     return [
         [load.service, round(load.work), load.engines, list(load.full_engines)]
         for load in loads
     ]
 
 
-def _load_list(items: Any) -> tuple[Load, ...]:
+def _decode_loads(items: Any) -> tuple[Load, ...]:
     if len(items) > MAX_LOADS:
         raise ValueError(f"{len(items)} loads, allowed: {MAX_LOADS}")
     return tuple(
         Load(
-            service=_name(service),
-            work=float(_count(work)),
-            engines=_count(engines),
-            full_engines=tuple(_count(n) for n in full[:MAX_FULL_ENGINES]),
+            service=_checked_name(service),
+            work=float(_checked_count(work)),
+            engines=_checked_count(engines),
+            full_engines=tuple(
+                _checked_count(n) for n in full[:MAX_FULL_ENGINES]
+            ),
         )
         for service, work, engines, full in items
     )
 
 
-def _name(value: Any) -> str:
+def _checked_name(value: Any) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_CHARS:
         raise ValueError(f"name is {value!r:.80}")
     return value
 
 
-def _count(value: Any) -> int:
+def _checked_count(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool):
         raise ValueError(f"count is a {type(value).__name__}")
     if not 0 <= value < 2**63:
--- a/irisshelf/coordination/head.py
+++ b/irisshelf/coordination/head.py
@@ -216,7 +216,7 @@
         return True
 
     def adopt(self, number: int) -> bool:
-        """Marks a verified bundle as in force unless its number is not higher."""
+        """Puts a verified bundle in force if its number is higher."""
         if number <= self._in_force:
             return False
         self._in_force = number
--- a/irisshelf/coordination/lease.py
+++ b/irisshelf/coordination/lease.py
@@ -1,22 +1,25 @@
-"""A lease with a fencing number, for orders to engines.
-
-One row in the platform's table for each data centre names the holder. Whoever
-takes the lease over raises the row's fencing number; orders carry it.
-
-Time: no two clocks are compared. A holder counts its lease from before it sent
-the renewal, on its own clock. Another instance takes over only after it has
-itself seen the row unchanged for the lease's length, stretched by how much
-clock rates may differ. So, unless the holder is paused in the very moment
-between looking at its clock and sending an order, two never order at once.
-
-That moment is why engines should check the number. Towards engines that do,
-an old holder's order is refused, however late. Towards engines that ignore it,
-a holder gives no order in the lease's last stretch, and a new holder waits
-``longest_pause_s`` before its first order.
-
-Not promised: that an engine which ignores numbers never gets an old holder's
-order, if that holder was paused for longer than ``longest_pause_s`` in that
-moment.
+"""A lease with a fencing token for orders to engines.
+
+One row in the platform's table for each data centre names the holder of the
+lease. An instance that takes over the lease increments the row's fencing token,
+which orders carry.
+
+Clocks of two instances are never compared. A holder measures its lease from the
+time before it sent the renewal, on its own clock. Another instance takes over
+only after it has itself observed the row unchanged for the lease's duration,
+extended by the maximum difference of clock rates. Two instances therefore never
+give orders at the same time, unless the holder is paused between checking its
+clock and sending an order.
+
+Because of this race, engines should check the fencing token. An engine that
+does refuses an order of a previous holder, however late it arrives. With an
+engine that does not, a holder gives no orders shortly before its lease expires,
+and a new holder waits for ``max_pause_s`` and ``max_order_delay_s`` before its
+first order.
+
+Not guaranteed: that an engine that ignores fencing tokens never receives an
+order of a previous holder, if that holder was paused for longer than
+``max_pause_s`` in this race.
 """
 
 from __future__ import annotations
@@ -31,7 +34,7 @@
 
 ROW_PREFIX = "leases/orders/"
 DURATION_S = 10.0
-RENEW_FRACTION = 0.4  # Part of the lease after which it is renewed.
+RENEW_FRACTION = 0.4
 MAX_CLOCK_DRIFT = 0.01
 MAX_PAUSE_S = 5.0
 MAX_ORDER_DELAY_S = 2.0
@@ -39,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Terms:
-    """What all instances agree on about a lease.
+    """Parameters of a lease, the same on all instances.
 
     Attributes:
-        length_s: How long a lease lasts without renewal.
-        renew_at: Part of the length after which it is renewed.
-        clock_rate_difference: How much two clocks' rates may differ.
-        longest_pause_s: Longest pause of a holder that is reckoned with.
-        order_time_s: Longest time from the decision to the order's effect.
+        duration_s: How long a lease is valid without renewal.
+        renew_fraction: Fraction of the duration after which it is renewed.
+        max_clock_drift: Maximum relative difference of two clocks' rates.
+        max_pause_s: Longest pause of a holder's process that is tolerated.
+        max_order_delay_s: Longest time from deciding on an order to its effect.
     """
 
     duration_s: float = DURATION_S
@@ -58,13 +61,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ObservedRow:
-    """The row as last read, and since when it has been so.
+    """The row as last read, and how long it has been unchanged.
 
     Attributes:
-        version: The row's version; ``messages.ABSENT`` if there is none.
-        holder: Who holds the lease.
-        fence: The row's fencing number.
-        since_s: When this version was first seen, on this instance's clock.
+        version: Version of the row; ``messages.ABSENT`` if it does not exist.
+        holder: Name of the lease's holder.
+        fencing_token: The row's fencing token.
+        since_s: When this version was first read, on this instance's clock.
     """
 
     version: int
@@ -78,10 +81,10 @@
     """A lease that this instance holds.
 
     Attributes:
-        version: The row's version that is ours.
-        fence: The number that orders carry.
-        taken_s: When the lease was first taken.
-        until_s: When it ends, on this instance's clock.
+        version: Version of the row that this instance wrote.
+        fencing_token: Fencing token that orders carry.
+        acquired_s: When the lease was first acquired.
+        expires_s: When it expires, on this instance's clock.
     """
 
     version: int
@@ -92,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class State:
-    """What one instance knows of a lease."""
+    """A lease as known to one instance."""
 
     name: str
     row: str
@@ -102,7 +105,7 @@
 
 
 def initial_state(*, name: str, data_centre: str) -> State:
-    """Returns the state of an instance that knows nothing yet."""
+    """Returns the state of an instance that has not read the row yet."""
     return State(name=name, row=ROW_PREFIX + data_centre)
 
 
@@ -111,32 +114,32 @@
     answer: result.Result[messages.Row, errors.NotFound | errors.Unavailable],
     now: float,
 ) -> State:
-    """Takes a read of the row.
+    """Processes the response to a read of the row.
 
     Args:
-        state: The state so far.
-        answer: What the table answered.
-        now: When the answer came.
+        state: The state before.
+        answer: The table's response.
+        now: Time at which the response arrived.
 
     Returns:
-        The new state. A row that names this instance and carries the write's
-        mark settles a write whose answer was lost.
+        The new state. A row with this instance's name and fencing token shows
+        that a renewal whose response was lost has taken effect.
     """
     if isinstance(answer, result.Err):
         if isinstance(answer.err_value, errors.Unavailable):
             return state
-        return _see(state, messages.ABSENT, "", 0, now)
+        return _with_observed(state, messages.ABSENT, "", 0, now)
     row = answer.ok_value
     holder, fence = _decode(row.value)
-    after = _see(state, row.version, holder, fence, now)
+    after = _with_observed(state, row.version, holder, fence, now)
     held = after.held
     if held is not None and row.version != held.version:
-        after = _settle_or_lose(after, row, now)
+        after = _reconcile(after, row, now)
     return after
 
 
 def should_write(state: State, *, terms: Terms, now: float) -> bool:
-    """Tells whether this instance should now take or renew the lease."""
+    """Returns whether this instance should now acquire or renew the lease."""
     if state.observed is None:
         return False
     if state.held is not None and now < state.held.expires_s:
@@ -149,11 +152,11 @@
 
 
 def build_write(state: State, *, now: float) -> tuple[State, messages.Write]:
-    """Returns the conditional write that takes or renews the lease.
+    """Returns the conditional write that acquires or renews the lease.
 
     Args:
-        state: The state; ``wants_write`` holds.
-        now: When the write is sent.
+        state: The state, for which ``should_write`` returned True.
+        now: Time at which the write is sent.
 
     Raises:
         ValueError: The row has not been read yet.
@@ -186,10 +189,10 @@
     terms: Terms,
     now: float,
 ) -> State:
-    """Takes the answer to a write.
+    """Processes the response to a write.
 
-    A lost answer leaves things as they were: the lease ends when it would
-    have, and the next read shows what became of the write.
+    A lost response changes nothing: the lease expires when it would have, and
+    the next read shows whether the write took effect.
     """
     sent_s = now if state.write_sent_s is None else state.write_sent_s
     state = dataclasses.replace(state, write_sent_s=None)
@@ -199,19 +202,19 @@
         failed = answer.err_value.failed[0]
         holder, fence = _decode(failed.value)
         lost = dataclasses.replace(state, held=None)
-        return _see(lost, failed.version, holder, fence, now)
+        return _with_observed(lost, failed.version, holder, fence, now)
     return state
 
 
 def may_order(
     state: State, *, terms: Terms, checks_fencing: bool, now: float
 ) -> bool:
-    """Tells whether this instance may now give an engine an order.
+    """Returns whether this instance may now give an order to an engine.
 
     Args:
         state: The state.
-        terms: The lease's terms.
-        checks_fencing: Whether the engine refuses old fencing numbers.
+        terms: The lease's parameters.
+        checks_fencing: Whether the engine refuses outdated fencing tokens.
         now: Time on this instance's clock.
     """
     held = state.held
@@ -238,27 +241,28 @@
         acquired_s=state.held.acquired_s if renews else now,
         expires_s=sent_s + terms.duration_s,
     )
-    after = _see(state, version, state.name, held.fencing_token, now)
+    after = _with_observed(state, version, state.name, held.fencing_token, now)
     return dataclasses.replace(after, held=held)
 
 
-def _see(
+def _with_observed(
     state: State, version: int, holder: str, fence: int, now: float
 ) -> State:
     if state.observed is not None and state.observed.version == version:
         return state
-    seen = ObservedRow(
+    observed = ObservedRow(
         version=version, holder=holder, fencing_token=fence, since_s=now
     )
-    return dataclasses.replace(state, observed=seen)
+    return dataclasses.replace(state, observed=observed)
 
 
-def _settle_or_lose(state: State, row: messages.Row, now: float) -> State:
-    """Another version than ours: our own late renewal, or a new holder.
+def _reconcile(state: State, row: messages.Row, now: float) -> State:
+    """Handles a row that has another version than the held lease.
 
-    A renewal whose answer was lost has our name and fence. It is taken as
-    the version to renew from, but lengthens nothing: when it was sent is not
-    known for sure any more.
+    This is either a renewal of this instance whose response was lost, which has
+    its name and fencing token, or the row of a new holder. Such a renewal
+    provides the version for the next one but does not extend the lease, as the
+    time at which it was sent is no longer known for certain.
     """
     del now
     holder, fence = _decode(row.value)
--- a/irisshelf/coordination/membership.py
+++ b/irisshelf/coordination/membership.py
@@ -1,8 +1,9 @@
-"""Who the other instances are, and which is the first of a data centre.
+"""The known live instances, and the leader of a data centre among them.
 
-Instances rank those heard from lately alike, whatever the order they hear of
-them. Lists that differ for a while cost a datagram or two, and nothing else.
-Those with wide links go first, as the first of a data centre sends to all.
+All instances rank the members heard from recently in the same way, regardless
+of the order in which they learned of them. Views that differ for a while cost a
+datagram or two and nothing else. Members with fast links rank first, as the
+leader of a data centre sends to all others.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 import hashlib
 from collections.abc import Iterable
 
-# An instance not heard of for so long is left out; members ask every 2.5 s.
+# Members not heard from for this long are dropped; they query every 2.5 s.
 EXPIRY_S = 6.0
-# Instances of other data centres are asked for less often.
+# Instances of other data centres are queried less often.
 REMOTE_EXPIRY_S = 20.0
 
 
@@ -24,9 +25,9 @@
 
     Attributes:
         name: Its name.
-        address: Where other instances reach it.
-        data_centre: Where it stands.
-        link_mbps: How much its link bears, in Mbit/s; 0 if that is not known.
+        address: Address at which other instances reach it.
+        data_centre: Its data centre.
+        link_mbps: Capacity of its link in Mbit/s; 0 if unknown.
     """
 
     name: str
@@ -36,7 +37,7 @@
 
 
 class Membership:
-    """The instances that this one knows of.
+    """The instances that this one knows to be alive.
 
     Args:
         own: This instance.
@@ -44,103 +45,113 @@
 
     def __init__(self, *, own: Member):
         self.own = own
-        self._heard: dict[str, tuple[Member, float]] = {}
+        # Members with the time at which each was last known to be alive.
+        self._known: dict[str, tuple[Member, float]] = {}
 
     def record_alive(self, member: Member, at_s: float) -> None:
-        """Takes that an instance lives, or lived at a time."""
+        """Records that an instance was alive at a time."""
         if member.name == self.own.name:
             return
-        known = self._heard.get(member.name)
+        known = self._known.get(member.name)
         if known is None or known[1] < at_s:
-            self._heard[member.name] = (member, at_s)
+            self._known[member.name] = (member, at_s)
 
     def remove(self, name: str) -> None:
-        """Takes that an instance stops as planned."""
-        self._heard.pop(name, None)
+        """Removes an instance that shuts down as planned."""
+        self._known.pop(name, None)
 
     def members(
         self, data_centre: str, now: float
     ) -> list[tuple[Member, float]]:
-        """Returns a data centre's instances but this one, with their ages."""
-        self._forget(now)
+        """Returns a data centre's other instances, with their ages."""
+        self._expire(now)
         return [
             (member, now - at_s)
-            for member, at_s in self._heard.values()
+            for member, at_s in self._known.values()
             if member.data_centre == data_centre
         ]
 
     def remote_members(self, now: float) -> list[Member]:
         """Returns the instances of other data centres."""
-        self._forget(now)
+        self._expire(now)
         return [
             member
-            for member, _ in self._heard.values()
+            for member, _ in self._known.values()
             if member.data_centre != self.own.data_centre
         ]
 
     def sample(
         self, data_centre: str, now: float, most: int
     ) -> list[tuple[Member, float]]:
-        """Returns those that an asker should know, with their ages.
+        """Returns the members to tell an instance of, with their ages.
 
-        All of its own data centre, and a few of each other one.
+        Args:
+            data_centre: The data centre of that instance. All of its members
+                are returned.
+            now: Monotonic seconds.
+            most: Maximum number of members for each other data centre.
         """
-        self._forget(now)
-        told: dict[str, int] = {}
-        rows = []
-        everyone = [(self.own, now), *self._heard.values()]
+        self._expire(now)
+        counts: dict[str, int] = {}
+        selected = []
+        everyone = [(self.own, now), *self._known.values()]
         for member, at_s in everyone:
-            count = told.get(member.data_centre, 0)
+            count = counts.get(member.data_centre, 0)
             if member.data_centre != data_centre and count >= most:
                 continue
-            told[member.data_centre] = count + 1
-            rows.append((member, now - at_s))
-        return rows
+            counts[member.data_centre] = count + 1
+            selected.append((member, now - at_s))
+        return selected
 
     def leader(self, now: float) -> Member | None:
-        """Returns the first of the data centre; None if it is this instance."""
+        """Returns the data centre's leader; None if it is this instance.
+
+        The leader is the highest-ranked known member; there is no election.
+        """
         others = [m for m, _ in self.members(self.own.data_centre, now)]
-        found = rank([*others, self.own])[0]
-        return None if found == self.own else found
+        leader = rank([*others, self.own])[0]
+        return None if leader == self.own else leader
 
     def ancestors(self, now: float, fan_out: int) -> list[Member]:
-        """Returns who hands things on to this instance, the nearest first.
+        """Returns the ancestors in the relay tree, the parent first.
 
-        The instances of the data centre, as they are ranked, form a tree in
-        which each relays to so many others; the first of them is its root.
+        The ranked instances of the data centre form a tree with the leader as
+        its root, in which each instance relays to ``fan_out`` others.
         """
         others = [m for m, _ in self.members(self.own.data_centre, now)]
         ranked = rank([*others, self.own])
-        place = ranked.index(self.own)
-        found = []
-        while place > 0:
-            place = (place - 1) // fan_out
-            found.append(ranked[place])
-        return found
-
-    def _longest_s(self, member: Member) -> float:
+        index = ranked.index(self.own)
+        ancestors = []
+        while index > 0:
+            index = (index - 1) // fan_out
+            ancestors.append(ranked[index])
+        return ancestors
+
+    def _expiry_s(self, member: Member) -> float:
         if member.data_centre == self.own.data_centre:
             return EXPIRY_S
         return REMOTE_EXPIRY_S
 
-    def _forget(self, now: float) -> None:
-        self._heard = {
+    def _expire(self, now: float) -> None:
+        self._known = {
             name: (member, at_s)
-            for name, (member, at_s) in self._heard.items()
-            if now - at_s <= self._longest_s(member)
+            for name, (member, at_s) in self._known.items()
+            if now - at_s <= self._expiry_s(member)
         }
 
 
 def rank(members: Iterable[Member]) -> list[Member]:
-    """Ranks instances alike everywhere, whatever the order they are told in."""
-    return sorted(members, key=lambda m: (-_width(m.link_mbps), _score(m.name)))
+    """Ranks members in an order that does not depend on the input's order."""
+    return sorted(
+        members, key=lambda m: (-_link_class(m.link_mbps), _name_hash(m.name))
+    )
 
 
-def _width(link_mbps: float) -> int:
-    """Returns the class of a link: those of a class are at most twice apart."""
+def _link_class(link_mbps: float) -> int:
+    """Returns a link's class; speeds in a class differ by less than twice."""
     return int(link_mbps).bit_length()
 
 
 @functools.lru_cache(maxsize=1024)
-def _score(name: str) -> bytes:
+def _name_hash(name: str) -> bytes:
     return hashlib.blake2b(name.encode(), digest_size=8).digest()
--- a/irisshelf/coordination/shared_watch.py
+++ b/irisshelf/coordination/shared_watch.py
@@ -1,18 +1,19 @@
-"""One watch on the store, shared by the instances of a data centre.
-
-The store charges for each call, and a call that is held costs as much as one
-that is answered at once. So one instance of a data centre, the *watcher*, asks
-the store and tells the others, the *readers*, what it was told: which version
-of the configuration was the newest, and what changed in the list of servers,
-each as of a moment of the store's own steady clock. A reader turns that moment
-into a time of its own by what its own calls have shown (``catalog.freshness``),
-so that the age of what it knows is never taken for less than it is, however
-long an update was on its way or its watcher stood still.
-
-A reader relies on nobody: once the newest update is older than
-``Timing.silence_s``, it asks the store by itself. An update that it cannot
-apply, as one before it was lost, makes it ask at once: for whole tables the
-instances above it in the data centre, for all else the store.
+"""A watch on the store that the instances of a data centre share.
+
+The store charges for each call, and a long poll costs as much as a call that is
+answered at once. One instance of a data centre, the *watcher*, therefore polls
+the store and relays the results to the others, the *readers*: which version of
+the configuration was the newest, and what changed in the list of servers, each
+as of a time on the store's own steady clock. A reader converts that time to its
+own clock on the basis of its own calls (``catalog.freshness``), so that it
+never underestimates the age of its data, however long an update was in transit
+or its watcher was paused.
+
+A reader does not depend on any other instance: once the newest update is older
+than ``Timing.fallback_after_s``, it polls the store itself. If it cannot apply
+an update because an earlier one was lost, it fetches the data at once: whole
+tables from its ancestors in the data centre's relay tree, anything else from
+the store.
 """
 
 from __future__ import annotations
@@ -27,24 +28,31 @@
 from irisshelf.coordination import membership as membership_module
 from irisshelf.store import feed
 
-# A watcher's call is held for this part of the tightest bound, so that two
-# updates in a row may be lost before a reader has to ask by itself.
-_HOLD_OF_BOUND = 0.25
-# A reader asks by itself after this part of it. With a watcher that freezes
-# just before a change, the change is known after 0.55 of the bound and the time
-# of one call; what is left serves requests that were sent before.
-_SILENCE_OF_BOUND = 0.55
+# Duration of a watcher's long poll, as a fraction of the tightest bound. Two
+# updates in a row may be lost before a reader has to poll the store itself.
+_LONG_POLL_FRACTION = 0.25
+# Age of the newest update, as a fraction of that bound, from which a reader
+# polls the store itself. If the watcher freezes just before a change, the
+# change is known after 0.55 of the bound plus the duration of one call; the
+# remainder is left for requests that were sent before.
+_FALLBACK_FRACTION = 0.55
 # A watcher makes 2 to 4 calls a second (both tables, bounds of 4 to 2 s), an
-# instance by itself 0.6: below so many instances little or nothing is saved.
-_FEWEST = 8
-# Changes are told again for so long, for readers that missed an update.
-_KEEP_S = 6.0
-# About 70 bytes each; an update has to fit into one datagram.
-_MOST_CHANGES = 16
+# instance on its own 0.6. With fewer instances, sharing saves next to nothing.
+_MIN_INSTANCES = 8
+# Time for which changes are repeated for readers that missed an update.
+_REPEAT_S = 6.0
+# Changes take about 70 bytes each, and an update has to fit into one datagram.
+_MAX_CHANGES = 16
 
 
 class Role(enum.StrEnum):
-    """Who asks the store for an instance."""
+    """Role of an instance in polling the store.
+
+    Attributes:
+        STANDALONE: It polls the store for itself only.
+        WATCHER: It polls the store and relays the results to the readers.
+        READER: It relies on the watcher's updates.
+    """
 
     STANDALONE = "alone"
     WATCHER = "watcher"
@@ -52,13 +60,13 @@
 
 
 class Verdict(enum.Enum):
-    """What an update is to the instance that reads it.
+    """What an instance has to do with an update.
 
     Attributes:
-        STALE: It is of an earlier era of the store, and says nothing.
-        CURRENT: It says nothing that the instance does not know.
-        APPLY: Its changes follow what the instance knows.
-        FETCH: There is more than it tells: the store has to be asked.
+        STALE: Ignore it, as it is from an earlier era of the store.
+        CURRENT: Nothing, as it contains nothing new.
+        APPLY: Apply its changes, which follow the known position directly.
+        FETCH: Fetch data, as there is more than the update contains.
     """
 
     STALE = enum.auto()
@@ -69,11 +77,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Timing:
-    """When the store is asked, in seconds.
+    """Timing of calls to the store, in seconds.
 
     Attributes:
-        hold_s: How long the store may hold a watcher's call.
-        silence_s: Age of the newest update from which a reader asks by itself.
+        long_poll_s: Maximum duration of a watcher's long poll.
+        fallback_after_s: Age of the newest update from which a reader polls the
+            store itself.
     """
 
     long_poll_s: float
@@ -82,14 +91,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CatalogUpdate:
-    """Which configuration was the newest in the store.
+    """The newest configuration in the store.
 
     Attributes:
-        store_s: The moment, by the store's clock.
-        version: Of the configuration.
-        position: Of the answer; changes may be asked for after it.
-        evacuated: The data centres that are evacuated then.
-        digest: Of the configuration as the store has it; empty if not known.
+        store_s: Time of the observation, on the store's clock.
+        version: Version of the configuration.
+        position: Position of the response; later changes can be requested from
+            there.
+        evacuated: Data centres that are evacuated at that time.
+        digest: Digest of the configuration as stored; empty if not known.
     """
 
     store_s: float
@@ -102,13 +112,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServersUpdate:
-    """What changed in the list of servers.
+    """Changes in the list of servers.
 
     Attributes:
-        store_s: The moment up to which all changes are told, store's clock.
-        since: Position after which changes are told.
-        position: Position up to which they are told.
-        changes: In their order.
+        store_s: Time up to which all changes are included, on the store's
+            clock.
+        since: Position after which changes are included.
+        position: Position up to which they are included.
+        changes: The changes, in order.
     """
 
     store_s: float
@@ -122,32 +133,32 @@
 
 
 def timing(bound_s: float) -> Timing:
-    """Returns when the store is asked.
+    """Returns the timing of calls to the store.
 
     Args:
-        bound_s: The shortest time in which anything that the store accepts has
-            to be known everywhere.
+        bound_s: The tightest bound on the time until a change accepted by the
+            store has to be known to all instances.
 
     Example:
         >>> timing(4.0)
-        Timing(hold_s=1.0, silence_s=2.2)
+        Timing(long_poll_s=1.0, fallback_after_s=2.2)
     """
     return Timing(
-        long_poll_s=_HOLD_OF_BOUND * bound_s,
-        fallback_after_s=_SILENCE_OF_BOUND * bound_s,
+        long_poll_s=_LONG_POLL_FRACTION * bound_s,
+        fallback_after_s=_FALLBACK_FRACTION * bound_s,
     )
 
 
-def role(roster: membership_module.Membership, now: float) -> Role:
-    """Returns an instance's role, by the instances that it knows.
+def role(membership: membership_module.Membership, now: float) -> Role:
+    """Returns an instance's role, based on the instances that it knows.
 
-    Instances that know different ones for a while may all watch, or all read;
-    that costs calls, and nothing else.
+    While the views of instances differ, several may be watchers or all may be
+    readers. This costs additional calls and nothing else.
     """
-    others = roster.members(roster.own.data_centre, now)
-    if len(others) + 1 < _FEWEST:
+    others = membership.members(membership.own.data_centre, now)
+    if len(others) + 1 < _MIN_INSTANCES:
         return Role.STANDALONE
-    if roster.leader(now) is None:
+    if membership.leader(now) is None:
         return Role.WATCHER
     return Role.READER
 
@@ -157,13 +168,13 @@
     known: position_module.Position | None,
     version: int | None,
 ) -> Verdict:
-    """Judges an update.
+    """Returns what to do with an update of the configuration.
 
     Args:
         update: The update.
-        known: The position known; None if there is none.
-        version: Of the newest configuration that the store is known to have in
-            this era; None if that is not known.
+        known: The known position; None if there is none.
+        version: Version of the newest configuration that the store is known to
+            have in this era; None if it is not known.
     """
     if known is not None and update.position.era < known.era:
         return Verdict.STALE
@@ -177,7 +188,7 @@
 def classify_servers_update(
     update: ServersUpdate, known: position_module.Position | None
 ) -> Verdict:
-    """Judges an update by the position known; None if there is none."""
+    """Returns what to do with an update of the servers at a known position."""
     if known is None:
         return Verdict.FETCH
     if update.position.era < known.era:
@@ -197,18 +208,19 @@
 
 
 class ChangeLog:
-    """The latest changes of the list of servers, without a gap."""
+    """The latest changes in the list of servers, without gaps."""
 
     def __init__(self):
         self._entries: collections.deque[_Entry] = collections.deque()
         self._position = position_module.Position(era=0, revision=0)
-        # Where the latest change was; the store's position moves on without.
-        self._changed = self._position
+        # Position of the latest change. The store's position also advances
+        # without changes to this table.
+        self._last_change = self._position
 
     def reset(self, position: position_module.Position) -> None:
-        """Takes that the whole list was read: what came before is unknown."""
+        """Discards all changes and restarts at the position of a snapshot."""
         self._entries.clear()
-        self._position = self._changed = position
+        self._position = self._last_change = position
 
     def append(
         self,
@@ -216,28 +228,29 @@
         position: position_module.Position,
         now: float,
     ) -> None:
-        """Takes all changes since the position known, up to a later one."""
+        """Appends all changes since the known position, up to a later one."""
         if changes:
-            since = self._changed
+            since = self._last_change
             self._entries.append(_Entry(at_s=now, since=since, changes=changes))
-            self._changed = position
+            self._last_change = position
         self._position = position
 
     def build_update(self, store_s: float, now: float) -> ServersUpdate:
-        """Returns what readers are told.
+        """Returns an update for readers.
 
         Args:
-            store_s: When the position known was the newest, store's clock.
+            store_s: Time at which the known position was the newest, on the
+                store's clock.
             now: Monotonic seconds.
         """
         entries = self._entries
-        while entries and now - entries[0].at_s > _KEEP_S:
+        while entries and now - entries[0].at_s > _REPEAT_S:
             entries.popleft()
-        while sum(len(entry.changes) for entry in entries) > _MOST_CHANGES:
+        while sum(len(entry.changes) for entry in entries) > _MAX_CHANGES:
             entries.popleft()
         return ServersUpdate(
             store_s=store_s,
-            since=entries[0].since if entries else self._changed,
+            since=entries[0].since if entries else self._last_change,
             position=self._position,
             changes=tuple(c for entry in entries for c in entry.changes),
         )
--- a/irisshelf/coordination/table_watch.py
+++ b/irisshelf/coordination/table_watch.py
@@ -1,8 +1,8 @@
-"""What an instance knows of one of the store's tables, and when it asks.
+"""State of one store table on an instance, and the schedule of its polls.
 
-Free of input and output: told what was answered and what the watcher of the
-data centre said, it tells whether the store has to be asked now, and for how
-long the store may hold the call.
+Without input or output: given the store's responses and the updates from the
+data centre's watcher, it decides whether to poll the store now and for how long
+the store may delay its response.
 """
 
 from __future__ import annotations
@@ -12,41 +12,45 @@
 from irisshelf.catalog import position as position_module
 from irisshelf.coordination import shared_watch
 
-# A call that follows the answer before by so much may be behind by several
-# versions. Between two calls lie 0.3 s to gather changes, and the answer's way.
-_SEVERAL_S = 0.6
+# An instance that was up to date longer ago than this may be several versions
+# behind. Between two calls lie 0.3 s of coalescing changes and the transfer
+# time of the response.
+_SNAPSHOT_AFTER_S = 0.6
 
 
 class TableWatch:
-    """One table as one instance sees it.
+    """State of one table on one instance.
 
     Attributes:
-        position: The store's position known; None before the first, and when
+        position: The known position of the store; None initially and whenever
             the whole table has to be read.
     """
 
     def __init__(self):
         self.position: position_module.Position | None = None
         self._era = 0
-        self._answered_s = -math.inf
-        self._told_s = -math.inf
-        self._told: position_module.Position | None = None
+        self._response_s = -math.inf
+        self._updated_s = -math.inf
+        self._update_position: position_module.Position | None = None
         self._caught_up_s = -math.inf
         self._behind = False
 
     def updates_suffice_until_s(
         self, role: shared_watch.Role, timing: shared_watch.Timing
     ) -> float:
-        """Returns until when updates suffice; minus infinity if never."""
+        """Returns the time until which no poll is needed.
+
+        Minus infinity if updates do not suffice.
+        """
         if self.position is None or self._behind:
             return -math.inf
         if role is not shared_watch.Role.READER:
             return -math.inf
-        return self._told_s + timing.fallback_after_s
+        return self._updated_s + timing.fallback_after_s
 
     def updates_overdue(self, timing: shared_watch.Timing, now: float) -> bool:
-        """Tells whether the watcher has said nothing for too long."""
-        return now - self._told_s > timing.fallback_after_s
+        """Returns whether the newest update is too old to rely on."""
+        return now - self._updated_s > timing.fallback_after_s
 
     def long_poll_s(
         self,
@@ -56,67 +60,71 @@
         standalone_s: float,
         now: float,
     ) -> float:
-        """Returns how long the store may hold the next call.
+        """Returns the maximum duration of the next long poll.
 
         Args:
-            role: Of this instance.
-            timing: When the store is asked where a watch is shared.
-            standalone_s: How long it may hold it if no watch is shared.
+            role: Role of this instance.
+            timing: Timing of calls if the watch is shared.
+            standalone_s: Duration of a long poll if the watch is not shared.
             now: Monotonic seconds.
         """
         if role is shared_watch.Role.STANDALONE:
             return standalone_s
         if role is shared_watch.Role.WATCHER:
             return min(standalone_s, timing.long_poll_s)
-        quiet = now - self._answered_s > timing.fallback_after_s
-        if self._behind or quiet:
+        disconnected = now - self._response_s > timing.fallback_after_s
+        if self._behind or disconnected:
             return 0.0
-        # No longer, as nothing else shows that a held call was lost while the
-        # other table rests.
+        # Not longer: while the other table is not polled, only the timeout
+        # shows that a long poll was lost.
         return min(standalone_s, timing.fallback_after_s)
 
     def should_read_snapshot(self, now: float) -> bool:
-        """Tells whether to read the table and not the changes in it.
+        """Returns whether to read a snapshot instead of the change feed.
 
         For a table that is one document, of which only the newest version
-        counts: its changes are whole documents, and an instance that was away
-        would bring each that it missed, while further ones are written. The
-        newest alone takes as long however long it was away. Where nothing has
-        changed, it costs one document that was known.
+        matters. The change feed contains whole documents, and an instance that
+        was disconnected would transfer each version that it missed while
+        further ones are written. A snapshot takes the same time regardless of
+        how long the instance was disconnected. If nothing has changed, it costs
+        the transfer of one known document.
 
         Args:
             now: Monotonic seconds.
         """
         if self.position is None:
             return True
-        if self._told is not None and self._told > self.position:
+        if (
+            self._update_position is not None
+            and self._update_position > self.position
+        ):
             return True
-        return now - self._caught_up_s > _SEVERAL_S
+        return now - self._caught_up_s > _SNAPSHOT_AFTER_S
 
     def record_caught_up(self, as_of_s: float) -> None:
-        """Takes that all was known at a time, monotonic seconds."""
+        """Records that all data was known as of a monotonic time."""
         self._caught_up_s = max(self._caught_up_s, as_of_s)
 
     def record_request(self) -> None:
-        """Takes that the store is asked for all there is now."""
+        """Records that a poll for all available data was started."""
         self._behind = False
 
     def record_response(
         self, position: position_module.Position, now: float, *, whole: bool
     ) -> bool:
-        """Takes an answer of the store.
+        """Records a response of the store.
 
         Args:
-            position: Its position.
+            position: Position of the response.
             now: Monotonic seconds.
-            whole: Whether it is the whole table.
+            whole: Whether the response is a snapshot of the table.
 
         Returns:
-            Whether it tells the newest state. If not, an update has come
-            before it that tells more, or it is of an earlier era, or it tells
-            changes to what is not known any more.
+            Whether the response is to be applied. It is not if a newer update
+            has arrived before it, if it is from an earlier era, or if it
+            contains changes to a state that has been discarded.
         """
-        self._answered_s = now
+        self._response_s = now
         if position.era < self._era or (self.position is None and not whole):
             return False
         newest = self.position is None or position >= self.position
@@ -128,32 +136,32 @@
     def record_relayed_table(
         self, position: position_module.Position, as_of_s: float
     ) -> bool:
-        """Takes the whole table from another instance.
+        """Records a snapshot of the table from another instance.
 
         Args:
-            position: Its position.
-            as_of_s: Its moment, monotonic seconds.
+            position: Position of the snapshot.
+            as_of_s: Time of the snapshot, in monotonic seconds.
 
         Returns:
-            Whether it tells more than is known.
+            Whether it is newer than the known state.
         """
         known = self.position
         if position.era < self._era or (known and position <= known):
             return False
         self.position = position
         self._era = position.era
-        self._told_s = max(self._told_s, as_of_s)
-        if self._told is None or self._told <= position:
-            # What updates told of while it was on its way came with it.
+        self._updated_s = max(self._updated_s, as_of_s)
+        if self._update_position is None or self._update_position <= position:
+            # It includes everything announced while it was in transit.
             self._behind = False
         return True
 
     def record_failure(self) -> None:
-        """Takes that a call was not answered."""
+        """Records that a call failed."""
         self._behind = True
 
     def record_history_lost(self) -> None:
-        """Takes that the store has no such history any more."""
+        """Records that the store has discarded the history since the position."""
         self.position = None
 
     def record_update(
@@ -162,31 +170,31 @@
         position: position_module.Position,
         verdict: shared_watch.Verdict,
     ) -> None:
-        """Takes an update of the watcher.
+        """Records an update from the watcher.
 
         Args:
-            as_of_s: Its moment, monotonic seconds.
-            position: The store's position that it speaks of.
-            verdict: What it is to this instance.
+            as_of_s: Time of the update, in monotonic seconds.
+            position: The store's position in the update.
+            verdict: Classification of the update.
         """
         if verdict is shared_watch.Verdict.STALE or position.era < self._era:
             return
-        self._told_s = max(self._told_s, as_of_s)
+        self._updated_s = max(self._updated_s, as_of_s)
         if verdict is not shared_watch.Verdict.FETCH:
             self.record_caught_up(as_of_s)
             return
         self._behind = True
-        self._told = max(self._told or position, position)
+        self._update_position = max(self._update_position or position, position)
         known = self.position
         if position.era > self._era:
-            # Changes do not lead from one era to the next.
+            # There is no sequence of changes across eras.
             self._era = position.era
             self.position = None
         elif known is not None and position <= known:
-            # Something was left out of an answer: changes do not bring it.
+            # A response lacked data that the change feed will not repeat.
             self.position = None
 
     def advance_to(self, position: position_module.Position) -> None:
-        """Takes that all is known up to a position, by an update."""
+        """Records that an update has brought all data up to a position."""
         if self.position is not None:
             self.position = max(self.position, position)
