--- a/irisshelf/coordination/table_watch.py
+++ b/irisshelf/coordination/table_watch.py
@@ -161,7 +161,7 @@
         self._behind = True
 
     def record_history_lost(self) -> None:
-        """Records that the store has discarded the history since the position."""
+        """Records that the store has lost the history since the position."""
         self.position = None
 
     def record_update(
