--- a/irisshelf/coordination/lease.py
+++ b/irisshelf/coordination/lease.py
@@ -163,25 +163,25 @@
     """
     if state.observed is None:
         raise ValueError("the lease's row has not been read yet")
-    renews = state.held is not None and now < state.held.expires_s
-    if renews:
+    is_renewal = state.held is not None and now < state.held.expires_s
+    if is_renewal:
         fence, version = state.held.fencing_token, state.held.version
     else:
         fence, version = (
             state.observed.fencing_token + 1,
             state.observed.version,
         )
-    made = messages.Write(
+    write = messages.Write(
         key=state.row,
         value={"holder": state.name, "fence": fence},
         if_version=version,
     )
-    return dataclasses.replace(state, write_sent_s=now), made
+    return dataclasses.replace(state, write_sent_s=now), write
 
 
 def after_write(
     state: State,
-    made: messages.Write,
+    write: messages.Write,
     answer: result.Result[
         tuple[int, ...], errors.Conflict | errors.Unavailable
     ],
@@ -197,7 +197,7 @@
     sent_s = now if state.write_sent_s is None else state.write_sent_s
     state = dataclasses.replace(state, write_sent_s=None)
     if isinstance(answer, result.Ok):
-        return _hold(state, made, answer.ok_value[0], sent_s, terms, now)
+        return _with_held(state, write, answer.ok_value[0], sent_s, terms, now)
     if isinstance(answer.err_value, errors.Conflict):
         failed = answer.err_value.failed[0]
         holder, fence = _decode(failed.value)
@@ -226,19 +226,21 @@
     return ready_s <= now < held.expires_s - terms.max_order_delay_s
 
 
-def _hold(
+def _with_held(
     state: State,
-    made: messages.Write,
+    write: messages.Write,
     version: int,
     sent_s: float,
     terms: Terms,
     now: float,
 ) -> State:
-    renews = state.held is not None and made.if_version == state.held.version
+    is_renewal = (
+        state.held is not None and write.if_version == state.held.version
+    )
     held = HeldLease(
         version=version,
-        fencing_token=made.value["fence"],
-        acquired_s=state.held.acquired_s if renews else now,
+        fencing_token=write.value["fence"],
+        acquired_s=state.held.acquired_s if is_renewal else now,
         expires_s=sent_s + terms.duration_s,
     )
     after = _with_observed(state, version, state.name, held.fencing_token, now)
--- a/irisshelf/tests/test_gossip.py
+++ b/irisshelf/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The exchange between instances, and their links."""
+"""Gossip between instances, and the links that carry it."""
 
 import random
 
@@ -17,11 +17,11 @@
 
 
 def _node(
-    name, place="a", *, incarnation=1, bytes_per_s=1e9, first_heartbeat=0
+    name, data_centre="a", *, incarnation=1, bytes_per_s=1e9, first_heartbeat=0
 ):
     node = gossip.Gossip(
         name=name,
-        data_centre=place,
+        data_centre=data_centre,
         incarnation=incarnation,
         rng=random.Random(name),
         budget=token_bucket.TokenBucket(bytes_per_s=bytes_per_s),
@@ -36,22 +36,22 @@
     return node
 
 
-class _Net:
-    """Some instances under virtual time, with lossy links."""
+class _Network:
+    """Instances in virtual time, connected by lossy links."""
 
-    def __init__(self, places, *, loss=0.0, seed=1):
+    def __init__(self, data_centres, *, loss=0.0, seed=1):
         self.now = 0.0
-        self.nodes = {n: _node(n, p) for n, p in places.items()}
-        self.places = places
+        self.nodes = {n: _node(n, p) for n, p in data_centres.items()}
+        self.data_centres = data_centres
         self.silent = set()
         self.loss = loss
-        self.one_way_cut = set()
+        self.blocked = set()
         self._rng = random.Random(seed)
         for name, node in self.nodes.items():
             node.set_peers(
                 [
                     gossip.Peer(name=n, data_centre=p)
-                    for n, p in places.items()
+                    for n, p in data_centres.items()
                     if n != name
                 ]
             )
@@ -62,16 +62,16 @@
             for name in self.nodes:
                 if name not in self.silent:
                     for out in self.nodes[name].tick(self.now):
-                        self._carry(name, out.to, out.message)
+                        self._deliver(name, out.to, out.message)
 
-    def _carry(self, sender, to, message):
+    def _deliver(self, sender, to, message):
         lost = self._rng.random() < self.loss
-        if to in self.silent or lost or (sender, to) in self.one_way_cut:
+        if to in self.silent or lost or (sender, to) in self.blocked:
             return
         decoded = messages.decode(messages.encode(message)).unwrap()
-        answer = self.nodes[to].receive(decoded, self.now)
-        if answer is not None:
-            self._carry(to, sender, answer)
+        reply = self.nodes[to].receive(decoded, self.now)
+        if reply is not None:
+            self._deliver(to, sender, reply)
 
     def statuses(self, name):
         return {
@@ -79,26 +79,28 @@
             for other in self.nodes
             if other != name
             and other not in self.silent
-            and self.places[other] == self.places[name]
+            and self.data_centres[other] == self.data_centres[name]
         }
 
 
-_FIVE = {f"i{i}": "a" for i in range(5)}
+_INSTANCES = {f"i{i}": "a" for i in range(5)}
 _ALIVE, _DEAD = messages.Status.ALIVE, messages.Status.DEAD
 
 
-def test_all_know_all_and_sum_their_loads():
-    net = _Net({**_FIVE, "j0": "b", "j1": "b"})
+def test_membership_and_total_load_converge():
+    net = _Network({**_INSTANCES, "j0": "b", "j1": "b"})
     net.run(10)
-    for name in _FIVE:
+    for name in _INSTANCES:
         assert net.statuses(name) == {_ALIVE}
         found = net.nodes[name].load_of_others("lm", net.now)
         assert (found.work, found.engines) == (60.0, 12)
-        assert net.nodes[name].live_local_instances(net.now) == sorted(_FIVE)
+        assert net.nodes[name].live_local_instances(net.now) == sorted(
+            _INSTANCES
+        )
 
 
-def test_a_dead_instance_is_known_within_3_s():
-    net = _Net(_FIVE)
+def test_dead_instance_is_detected_within_3_s():
+    net = _Network(_INSTANCES)
     net.run(5)
     net.silent.add("i2")
     net.run(3)
@@ -106,8 +108,8 @@
     assert "i2" not in net.nodes["i0"].live_local_instances(net.now)
 
 
-def test_a_paused_instance_that_comes_back_is_taken_back():
-    net = _Net(_FIVE)
+def test_paused_instance_that_resumes_is_alive_again():
+    net = _Network(_INSTANCES)
     net.run(5)
     net.silent.add("i2")
     net.run(8)
@@ -116,18 +118,18 @@
     assert net.statuses("i2") == {_ALIVE}
 
 
-def test_an_observer_that_hears_nothing_does_not_throw_others_out():
-    net = _Net(_FIVE)
+def test_isolated_observer_does_not_evict_instances_for_others():
+    net = _Network(_INSTANCES)
     net.run(5)
-    net.one_way_cut = {(n, "i0") for n in _FIVE if n != "i0"}
+    net.blocked = {(n, "i0") for n in _INSTANCES if n != "i0"}
     net.run(6)
     others = {net.nodes[o].status("i1", net.now) for o in ("i2", "i3", "i4")}
     assert others == {_ALIVE}
     assert net.nodes["i0"].status("i1", net.now) is _DEAD
 
 
-def test_loss_and_short_pauses_kill_nobody():
-    net = _Net({f"i{i}": "a" for i in range(12)}, loss=0.05)
+def test_packet_loss_and_short_pauses_cause_no_false_deaths():
+    net = _Network({f"i{i}": "a" for i in range(12)}, loss=0.05)
     net.run(5)
     for number in range(12):
         net.silent = {f"i{number}"}
@@ -138,8 +140,8 @@
         net.run(1.5)
 
 
-def test_a_restart_under_the_same_name_is_told_apart():
-    net = _Net(_FIVE)
+def test_restart_under_the_same_name_is_recognised():
+    net = _Network(_INSTANCES)
     net.run(5)
     old = net.nodes["i2"]
     first_heartbeat = round(net.now / gossip.TICK_S)
@@ -147,14 +149,14 @@
         "i2", incarnation=2, first_heartbeat=first_heartbeat
     )
     net.nodes["i2"].set_peers(
-        [gossip.Peer(name=n, data_centre="a") for n in _FIVE if n != "i2"]
+        [gossip.Peer(name=n, data_centre="a") for n in _INSTANCES if n != "i2"]
     )
     net.run(4)
     assert net.statuses("i2") == {_ALIVE}
     assert old.name_conflicts == 0
 
 
-def test_two_instances_with_one_name_are_counted():
+def test_name_conflict_is_counted():
     one = _node("i", incarnation=1)
     two = _node("i", incarnation=5)
     other = _node("o")
@@ -169,12 +171,17 @@
     assert one.name_conflicts >= 1
 
 
-def test_a_head_reaches_everybody_also_after_a_cut():
-    places = {**_FIVE, "j0": "b", "j1": "b", "k0": "c"}
-    net = _Net(places)
+def test_head_reaches_all_instances_after_a_partition():
+    data_centres = {**_INSTANCES, "j0": "b", "j1": "b", "k0": "c"}
+    net = _Network(data_centres)
     net.run(5)
-    cut = {(a, b) for a in places for b in places if places[a] != places[b]}
-    net.one_way_cut = cut
+    partition = {
+        (a, b)
+        for a in data_centres
+        for b in data_centres
+        if data_centres[a] != data_centres[b]
+    }
+    net.blocked = partition
     net.nodes["i0"].set_local_state(
         now=net.now,
         loads=[],
@@ -182,18 +189,18 @@
         head=messages.HeadHint(number=9, object_key="o9"),
     )
     net.run(11)
-    assert {net.nodes[n].head.number for n in _FIVE} == {9}
+    assert {net.nodes[n].head.number for n in _INSTANCES} == {9}
     assert net.nodes["j0"].head.number == 0
     assert (
         net.nodes["j0"].load_of_others("lm", net.now).engines == 2
-    )  # Only j1's.
-    net.one_way_cut = set()
+    )  # Those of j1 only.
+    net.blocked = set()
     net.run(8)
     assert {node.head.number for node in net.nodes.values()} == {9}
 
 
-def test_a_leaving_instance_owns_nothing_more():
-    net = _Net(_FIVE)
+def test_leaving_instance_is_not_listed_as_live():
+    net = _Network(_INSTANCES)
     net.run(3)
     net.nodes["i1"].set_local_state(
         now=net.now,
@@ -206,19 +213,19 @@
     assert "i1" not in net.nodes["i0"].live_local_instances(net.now)
 
 
-def test_no_instance_sends_more_than_its_budget():
-    net = _Net({f"i{i}": "a" for i in range(30)})
+def test_sent_bytes_stay_within_budget():
+    net = _Network({f"i{i}": "a" for i in range(30)})
     sent = 0
     for node in net.nodes.values():
         node._budget = token_bucket.TokenBucket(bytes_per_s=300.0)
-    original = net._carry
+    deliver = net._deliver
 
     def count(sender, to, message):
         nonlocal sent
         sent += messages.size_of(message)
-        original(sender, to, message)
+        deliver(sender, to, message)
 
-    net._carry = count
+    net._deliver = count
     net.run(20)
     assert sent / 30 / 20 < 1.4 * 300
 
@@ -234,16 +241,16 @@
         else b"\x01",
     ],
 )
-def test_what_is_no_message_is_refused(data):
+def test_malformed_message_is_rejected(data):
     assert messages.decode(data).is_err()
 
 
-def test_another_version_is_refused():
-    net = _Net(_FIVE)
+def test_other_protocol_version_is_rejected():
+    net = _Network(_INSTANCES)
     message = net.nodes["i0"].tick(1.0)[0].message
     data = bytearray(messages.encode(message))
     assert messages.decode(bytes(data)).is_ok()
-    data[1] = 2  # The version, the list's first item.
+    data[1] = 2  # The version is the first item of the list.
     assert "version is 2" in messages.decode(bytes(data)).unwrap_err()
 
 
@@ -273,7 +280,7 @@
     made.stop()
 
 
-def test_a_link_carries_messages_both_ways(listener):
+def test_link_carries_messages_in_both_directions(listener):
     address, got = listener
     opened = link.connect(address, secret="s")
     answers = opened.messages()
@@ -284,7 +291,7 @@
     opened.close()
 
 
-def test_a_peer_without_the_secret_is_refused(listener):
+def test_peer_with_wrong_secret_is_refused(listener):
     address, got = listener
     with pytest.raises(errors.LinkError, match="403"):
         link.connect(address, secret="wrong")
@@ -295,7 +302,7 @@
 @pytest.mark.parametrize(
     "data", [b"garbage\r\n\r\n", b"GET / HTTP/1.1\r\n\r\n", b"\x00" * 70_000]
 )
-def test_a_peer_that_sends_garbage_is_refused(listener, data):
+def test_peer_that_sends_garbage_is_refused(listener, data):
     address, got = listener
     host, _, port = address.rpartition(":")
     sock = socket.create_connection((host, int(port)))
@@ -311,7 +318,7 @@
     assert got[0][0] == "refused"
 
 
-def test_a_frame_that_is_too_long_ends_the_link(listener):
+def test_oversized_frame_closes_the_link(listener):
     address, got = listener
     opened = link.connect(address, secret="s")
     opened.send(b"x" * (messages.MAX_BYTES + 1))
