--- a/irisshelf/tests/test_catalog_catch_up.py
+++ b/irisshelf/tests/test_catalog_catch_up.py
@@ -1,23 +1,22 @@
-"""An instance that missed configurations has the newest in force in time.
-
-Seen: two instances of 87 refused callers for good (401, 404) by configurations
-that were five to ten seconds old, for up to four seconds after they had the
-store again; a configuration had to be in force within 3 s.
-
-How it came about: they had been cut off from the store for twelve seconds, in
-which it accepted 38 versions of 80 kB. Its feed tells every version since the
-one known, 1 MB at a time. Over a link of 5 Mbit/s the first answer took 2.6 s
-and ended with a version that had been replaced five seconds before; the
-instance waited another 0.75 s to gather changes, and the next answer took 2.3 s
-more, as changes went on.
-
-Cause: the time to catch up grew with the number of versions missed, though only
-the newest counts. Beside it, an answer that the store had cut off was taken
-for all there was, so that the age of the configuration was understated.
-
-Proof: the log brought 17 and 19 versions into force at once while the link was
-full; a line for each answer, added for it, shows 1.42 MB and the last row's
-revision; this play, with the real follower, fails in the same way.
+"""An instance that missed configurations puts the newest in force in time.
+
+Guards against a failure seen on two instances of 87: they rejected callers
+permanently (401, 404) by configurations that were five to ten seconds old, for
+up to four seconds after they had reached the store again, where a configuration
+had to be in force within 3 s.
+
+They had been cut off from the store for twelve seconds, in which it accepted 38
+versions of 80 kB. Its change feed contains every version since the known one,
+1 MB at a time. Over a link of 5 Mbit/s the first response took 2.6 s and ended
+with a version that had been replaced five seconds before. The instance waited
+another 0.75 s to coalesce changes, and the next response took 2.3 s more, as
+changes continued. The log showed 17 and 19 versions put in force at once while
+the link was saturated, and responses of up to 1.42 MB.
+
+The time to catch up grew with the number of versions missed, although only the
+newest matters. In addition, a response that the store had truncated was treated
+as complete, so that the age of the configuration was underestimated. The
+simulation runs the real follower in virtual time and failed in the same way.
 """
 
 import heapq
@@ -43,13 +42,13 @@
 
 _Role = shared_watch.Role
 _LINK_BYTES_S = 625_000
-_ANSWER_BYTES = 1_330_000
-# An answer of this size may have been cut off.
-_SURELY_COMPLETE_BYTES = 600_000
-# Trouble is over for the bounds after so long.
-_CONTACT_S = 3.0
+_MAX_RESPONSE_BYTES = 1_330_000
+# A response of at least this size may have been truncated.
+_COMPLETE_BELOW_BYTES = 600_000
+# Bounds apply again this long after an outage.
+_RECOVERY_S = 3.0
 _STORE_CLOCK_S = 1000.0
-_CONNECT_S = 0.4
+_CONNECT_TIMEOUT_S = 0.4
 
 
 def _at(revision):
@@ -57,11 +56,11 @@
 
 
 class _EndError(Exception):
-    """The play is over."""
+    """The simulation has ended."""
 
 
 class _Clock:
-    """Virtual time; things that are due happen while somebody waits."""
+    """Virtual time; due actions run while the simulated instance waits."""
 
     def __init__(self, *, end_s):
         self.now = 0.0
@@ -69,15 +68,15 @@
         self._due = []
         self._order = itertools.count()
 
-    def at(self, when_s, act):
-        heapq.heappush(self._due, (when_s, next(self._order), act))
+    def at(self, when_s, action):
+        heapq.heappush(self._due, (when_s, next(self._order), action))
 
     def until(self, when_s, woken=lambda: False):
         while self._due and self._due[0][0] <= when_s:
             if woken():
                 return
-            self.now, _, act = heapq.heappop(self._due)
-            act()
+            self.now, _, action = heapq.heappop(self._due)
+            action()
             if self.now >= self._end_s:
                 raise _EndError
         if not woken():
@@ -91,7 +90,7 @@
 
 
 class _Event:
-    """As gevent's, in virtual time."""
+    """Replacement of gevent's event in virtual time."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -112,14 +111,14 @@
 
 
 class _Store(feed.Feed):
-    """Every version of the configuration, behind one instance's link."""
+    """Store of all configuration versions, behind the instance's link."""
 
     def __init__(self, *, clock, body_bytes):
         self._clock = clock
         self._body_bytes = body_bytes
         self.accepted = [(0.0, 1)]
-        self.cut = (0.0, 0.0)
-        self.brought_bytes = 0
+        self.outage = (0.0, 0.0)
+        self.fetched_bytes = 0
 
     @property
     def version(self):
@@ -132,38 +131,38 @@
         pass
 
     def decode(self, raw):
-        raise NotImplementedError("nothing is handed on in this play")
+        raise NotImplementedError("no data is relayed in this simulation")
 
     def whole(self, table):
-        if self.is_away():
+        if self.is_unavailable():
             return self._unavailable()
-        return self._answer(table, [self.version], self.version, whole=True)
+        return self._respond(table, [self.version], self.version, whole=True)
 
     def changes(self, table, *, after, wait_s):
-        if self.is_away():
+        if self.is_unavailable():
             return self._unavailable()
         changed = lambda: self.version > after.revision  # noqa: E731
         self._clock.until(self._clock.now + wait_s, woken=changed)
-        if self.is_away():
+        if self.is_unavailable():
             return self._unavailable()
         after = after.revision
         versions = [v for _, v in self.accepted if v > after]
-        most = max(1, _ANSWER_BYTES // self._body_bytes)
-        told = versions[:most]
-        revision = told[-1] if told else after
-        return self._answer(table, told, revision, whole=False)
+        limit = max(1, _MAX_RESPONSE_BYTES // self._body_bytes)
+        included = versions[:limit]
+        revision = included[-1] if included else after
+        return self._respond(table, included, revision, whole=False)
 
-    def is_away(self):
-        return self.cut[0] <= self._clock.now < self.cut[1]
+    def is_unavailable(self):
+        return self.outage[0] <= self._clock.now < self.outage[1]
 
     def _unavailable(self):
-        self._clock.sleep(_CONNECT_S)
+        self._clock.sleep(_CONNECT_TIMEOUT_S)
         return result.Err(feed.Unavailable(detail="timed out"))
 
-    def _answer(self, table, versions, revision, *, whole):
+    def _respond(self, table, versions, revision, *, whole):
         store_s = self._clock.now + _STORE_CLOCK_S
         size_bytes = self._body_bytes * len(versions)
-        self.brought_bytes += size_bytes
+        self.fetched_bytes += size_bytes
         transfer_s = size_bytes / _LINK_BYTES_S
         self._clock.sleep(0.004 + transfer_s)
         items = tuple(
@@ -175,7 +174,7 @@
                 position=_at(revision),
                 store_s=store_s,
                 whole=whole,
-                complete=whole or size_bytes < _SURELY_COMPLETE_BYTES,
+                complete=whole or size_bytes < _COMPLETE_BELOW_BYTES,
                 size_bytes=size_bytes,
                 transfer_s=transfer_s,
             )
@@ -183,20 +182,20 @@
 
 
 class _Watcher:
-    """Tells the instance which version is the newest, as its watcher would."""
+    """Sends the updates that the instance's watcher would send."""
 
     def __init__(self, *, clock, store, role):
         self._clock = clock
         self._store = store
         self._role = role
-        # Whether the store is away for the watcher as well.
-        self.shares_cut = False
-        # From when on its updates are lost.
+        # Whether the store is unavailable for the watcher as well.
+        self.shares_outage = False
+        # Time from which its updates are lost.
         self.lost_from_s = math.inf
 
-    def subscribe(self, taker):
-        self._take = taker
-        self._clock.at(0.1, self._beat)
+    def subscribe(self, handler):
+        self._handler = handler
+        self._clock.at(0.1, self._send_update)
 
     def role(self):
         return self._role
@@ -204,19 +203,19 @@
     def tell(self, update):
         pass
 
-    def _beat(self):
-        silent = self.shares_cut and self._store.is_away()
+    def _send_update(self):
+        silent = self.shares_outage and self._store.is_unavailable()
         silent |= self._clock.now >= self.lost_from_s
         if self._role is _Role.READER and not silent:
             version = self._store.version
-            self._take(
+            self._handler(
                 shared_watch.CatalogUpdate(
                     store_s=self._clock.now + _STORE_CLOCK_S,
                     version=version,
                     position=_at(version),
                 )
             )
-        self._clock.at(self._clock.now + 0.5, self._beat)
+        self._clock.at(self._clock.now + 0.5, self._send_update)
 
 
 def _catalog(version):
@@ -229,16 +228,16 @@
     )
 
 
-class _Play:
+class _Simulation:
     """One instance that follows the store, checked ten times a second."""
 
     def __init__(self, monkeypatch, *, role, bound_s, body_bytes, end_s):
         self.clock = _Clock(end_s=end_s)
         self.store = _Store(clock=self.clock, body_bytes=body_bytes)
         self._bound_s = bound_s
-        # Both as (when, by how much), in seconds.
+        # Both as (time, by how much), in seconds.
         self.late = []
-        self.understated = []
+        self.underestimated = []
         self._patch(monkeypatch)
         self.inst = self._instance(bound_s)
         self.watcher = _Watcher(clock=self.clock, store=self.store, role=role)
@@ -297,11 +296,11 @@
         missed = [at_s for at_s, v in self.store.accepted if v > known]
         if known and missed:
             behind_s = now - missed[0]
-            unseen_s = behind_s - self.inst.freshness.age_s(now)
-            if unseen_s > 1e-6:
-                self.understated.append((round(now, 1), round(unseen_s, 2)))
-            in_touch = now - self.store.cut[1] > _CONTACT_S
-            if in_touch and behind_s > self._bound_s:
+            excess_s = behind_s - self.inst.freshness.age_s(now)
+            if excess_s > 1e-6:
+                self.underestimated.append((round(now, 1), round(excess_s, 2)))
+            recovered = now - self.store.outage[1] > _RECOVERY_S
+            if recovered and behind_s > self._bound_s:
                 self.late.append((round(now, 1), round(behind_s, 2)))
         self.clock.at(now + 0.1, self._check)
 
@@ -310,127 +309,128 @@
     "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
 )
 @pytest.mark.parametrize("gap_s", [0.25, 0.33, 0.8])
-def test_what_was_missed_while_cut_off_is_not_brought_one_by_one(
+def test_versions_missed_in_an_outage_are_not_fetched_one_by_one(
     monkeypatch, role, gap_s
 ):
-    play = _Play(
+    sim = _Simulation(
         monkeypatch, role=role, bound_s=3.0, body_bytes=80_000, end_s=60.0
     )
-    play.change_every(gap_s, begin_s=2.0, end_s=55.0)
-    play.store.cut = (10.0, 22.0)
-    play.run()
-    assert (play.late, play.understated) == ([], [])
+    sim.change_every(gap_s, begin_s=2.0, end_s=55.0)
+    sim.store.outage = (10.0, 22.0)
+    sim.run()
+    assert (sim.late, sim.underestimated) == ([], [])
 
 
 @pytest.mark.parametrize(
     "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
 )
 @pytest.mark.parametrize("gap_s", [0.3, 0.5, 1.0])
-def test_changes_in_series_of_a_long_configuration_do_not_pile_up(
+def test_successive_changes_of_a_large_configuration_do_not_queue_up(
     monkeypatch, role, gap_s
 ):
-    """1,600 routes: one version takes a second over the link."""
-    play = _Play(
+    """With 1,600 routes, one version takes a second over the link."""
+    sim = _Simulation(
         monkeypatch, role=role, bound_s=4.0, body_bytes=630_000, end_s=60.0
     )
-    play.change_every(gap_s, begin_s=2.0, end_s=55.0)
-    play.run()
-    assert (play.late, play.understated) == ([], [])
+    sim.change_every(gap_s, begin_s=2.0, end_s=55.0)
+    sim.run()
+    assert (sim.late, sim.underestimated) == ([], [])
 
 
 @pytest.mark.parametrize(
     "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
 )
-def test_a_burst_that_one_answer_cannot_hold_is_not_taken_for_known(
+def test_burst_exceeding_one_response_is_not_treated_as_known(
     monkeypatch, role
 ):
-    play = _Play(
+    sim = _Simulation(
         monkeypatch, role=role, bound_s=4.0, body_bytes=300_000, end_s=60.0
     )
     for begin_s in range(5, 50, 6):
-        play.change_every(0.05, begin_s=begin_s, end_s=begin_s + 0.3)
-    play.run()
-    assert (play.late, play.understated) == ([], [])
+        sim.change_every(0.05, begin_s=begin_s, end_s=begin_s + 0.3)
+    sim.run()
+    assert (sim.late, sim.underestimated) == ([], [])
 
 
 @pytest.mark.parametrize(
-    ("told_revision", "since_s", "alone"),
+    ("update_revision", "since_s", "expected"),
     [
         pytest.param(None, 0.3, False, id="up-to-date"),
-        pytest.param(None, 0.7, True, id="not-of-late"),
-        pytest.param(5, 0.3, False, id="told-of-what-it-has"),
-        pytest.param(6, 0.3, True, id="told-of-a-newer-one"),
+        pytest.param(None, 0.7, True, id="not-recently"),
+        pytest.param(5, 0.3, False, id="update-with-known-version"),
+        pytest.param(6, 0.3, True, id="update-with-newer-version"),
     ],
 )
-def test_when_the_newest_is_read_alone(told_revision, since_s, alone):
+def test_should_read_snapshot(update_revision, since_s, expected):
     watch = table_watch.TableWatch()
     assert watch.should_read_snapshot(0.0)
     watch.record_response(_at(5), 10.0, whole=True)
     watch.record_caught_up(10.0)
-    if told_revision is not None:
+    if update_revision is not None:
         verdict = shared_watch.Verdict.FETCH
-        if told_revision == 5:
+        if update_revision == 5:
             verdict = shared_watch.Verdict.CURRENT
-        watch.record_update(10.0, _at(told_revision), verdict)
-    assert watch.should_read_snapshot(10.0 + since_s) is alone
+        watch.record_update(10.0, _at(update_revision), verdict)
+    assert watch.should_read_snapshot(10.0 + since_s) is expected
 
 
 @pytest.mark.parametrize(
     "role", [_Role.READER, _Role.STANDALONE, _Role.WATCHER]
 )
 @pytest.mark.parametrize("body_bytes", [80_000, 630_000])
-def test_a_configuration_at_rest_is_brought_once(monkeypatch, role, body_bytes):
-    """Beside the first, at most one more after a cut."""
-    play = _Play(
+def test_unchanged_configuration_is_fetched_once(monkeypatch, role, body_bytes):
+    """Beside the first fetch, at most one more follows an outage."""
+    sim = _Simulation(
         monkeypatch, role=role, bound_s=4.0, body_bytes=body_bytes, end_s=60.0
     )
-    play.store.cut = (20.0, 30.0)
-    play.run()
-    assert play.store.brought_bytes <= 2 * body_bytes
+    sim.store.outage = (20.0, 30.0)
+    sim.run()
+    assert sim.store.fetched_bytes <= 2 * body_bytes
 
 
 @pytest.mark.parametrize("changes", [0, 3])
 @pytest.mark.parametrize("body_bytes", [80_000, 630_000])
-def test_a_reader_out_of_its_watchers_reach_brings_nothing_again(
+def test_reader_cut_off_from_its_watcher_fetches_nothing_twice(
     monkeypatch, body_bytes, changes
 ):
-    """It read the same configuration over and over, a tenth of its link.
+    """Guards against repeated reads that took up a tenth of the link.
 
-    The pattern: instances are cut off from each other and have the store, or
-    the store turns the watcher away. What was read again counted as a change,
-    after which a reader waits to gather more, and so long after an answer the
-    newest is read alone, which brings it again.
+    Instances are cut off from each other but reach the store, or the store
+    rejects the watcher. A repeated read of the same configuration counted as a
+    change, after which a reader waits to coalesce more. That wait is so long
+    that the next read is a snapshot, which transfers the configuration again.
     """
-    play = _Play(
+    sim = _Simulation(
         monkeypatch,
         role=_Role.READER,
         bound_s=3.0,
         body_bytes=body_bytes,
         end_s=60.0,
     )
-    play.watcher.lost_from_s = 5.0
-    play.change_every(10.0, begin_s=20.0, end_s=20.0 + 10.0 * changes)
-    play.run()
-    assert (play.late, play.understated) == ([], [])
-    # The first, one as the updates end, and twice each that has changed.
-    assert play.store.brought_bytes <= 2 * (1 + changes) * body_bytes
+    sim.watcher.lost_from_s = 5.0
+    sim.change_every(10.0, begin_s=20.0, end_s=20.0 + 10.0 * changes)
+    sim.run()
+    assert (sim.late, sim.underestimated) == ([], [])
+    # The first, one when the updates end, and two for each change.
+    assert sim.store.fetched_bytes <= 2 * (1 + changes) * body_bytes
 
 
 @pytest.mark.parametrize("end_s", [18.0, 18.4, 18.8, 19.2, 19.6, 20.0])
-def test_a_reader_between_two_tries_is_woken_by_its_watcher(monkeypatch, end_s):
-    """Else it sleeps on for up to 2.2 s while callers are refused.
+def test_update_wakes_a_reader_that_waits_to_retry(monkeypatch, end_s):
+    """Otherwise it waits up to 2.2 s longer while callers are rejected.
 
-    A try that runs out takes 0.4 s, the watcher's next word up to 0.5 s more.
+    An attempt that times out takes 0.4 s, and the watcher's next update up to
+    0.5 s more.
     """
-    play = _Play(
+    sim = _Simulation(
         monkeypatch,
         role=_Role.READER,
         bound_s=4.0,
         body_bytes=80_000,
         end_s=end_s + 1.1,
     )
-    play.change_every(0.5, begin_s=2.0, end_s=end_s)
-    play.store.cut = (10.0, end_s)
-    play.watcher.shares_cut = True
-    play.run()
-    assert play.inst.catalog.version == play.store.version
+    sim.change_every(0.5, begin_s=2.0, end_s=end_s)
+    sim.store.outage = (10.0, end_s)
+    sim.watcher.shares_outage = True
+    sim.run()
+    assert sim.inst.catalog.version == sim.store.version
--- a/irisshelf/tests/test_evacuation.py
+++ b/irisshelf/tests/test_evacuation.py
@@ -1,9 +1,9 @@
-"""Operators evacuate a data centre: its servers get nothing new.
+"""Evacuation of a data centre: its servers get no new requests.
 
-The pattern: a data centre is to be empty of work within seconds, while the
-store is slow, turns instances away or loses answers, and instances start, sleep
-or come back. What its servers hold is handed on first; callers there are served
-by the servers of other data centres.
+A data centre has to be free of work within seconds, while the store is slow,
+rejects instances or loses responses, and instances start, are suspended or are
+restored. Content in its servers' caches is transferred to other servers first.
+Callers in the data centre are served by servers of other data centres.
 """
 
 import gevent
@@ -23,14 +23,17 @@
 
 
 @pytest.fixture
-def places(make_world):
-    """Servers of each service in two data centres; the instance is in a."""
+def world(make_world):
+    """A world with servers of each service in data centres a and b.
+
+    The instance is in data centre a.
+    """
     return make_world(places=("a", "b"))
 
 
-def _of(world, place):
-    everyone = [*world.plain, *world.engines]
-    return [one for one in everyone if one.data_centre == place]
+def _of(world, data_centre):
+    servers = [*world.plain, *world.engines]
+    return [one for one in servers if one.data_centre == data_centre]
 
 
 def _evacuate(world, *names):
@@ -49,83 +52,83 @@
 
 
 @pytest.mark.parametrize("target", _KINDS)
-@pytest.mark.parametrize("place", ["a", "b"])
-def test_servers_there_get_nothing_and_callers_are_served(
-    places, place, target
+@pytest.mark.parametrize("data_centre", ["a", "b"])
+def test_evacuated_servers_get_no_requests_and_callers_are_served(
+    world, data_centre, target
 ):
-    _evacuate(places, place)
+    _evacuate(world, data_centre)
     for number in range(8):
         parts = f"s{number}:900,own:9"
-        assert places.ask(target, Prefix_Hash=parts).status == 200
-    assert _ran(_of(places, place)) == 0
-    _lift(places, place)
+        assert world.ask(target, Prefix_Hash=parts).status == 200
+    assert _ran(_of(world, data_centre)) == 0
+    _lift(world, data_centre)
 
 
 @pytest.mark.parametrize("target", ["/valve/1", "/digest/1"])
-def test_a_second_send_does_not_go_there(places, target):
-    _evacuate(places, "a")
-    for one in _of(places, "b"):
+def test_retry_avoids_evacuated_data_centre(world, target):
+    _evacuate(world, "a")
+    for one in _of(world, "b"):
         one.always = Fault.FAIL
-    assert places.ask(target).status == 500
-    assert _ran(_of(places, "a")) == 0
+    assert world.ask(target).status == 500
+    assert _ran(_of(world, "a")) == 0
 
 
-def test_work_under_way_there_ends_well(places):
-    for one in places.engines:
+def test_requests_in_flight_complete(world):
+    for one in world.engines:
         one.always = Fault.PAUSE_MIDWAY
         one.pause_s = 0.3
     answers = []
-    asking = gevent.spawn(lambda: answers.append(places.ask("/query/1")))
-    places.wait(lambda: any(one.working for one in places.engines))
-    _evacuate(places, "a", "b")
-    asking.join()
+    request = gevent.spawn(lambda: answers.append(world.ask("/query/1")))
+    world.wait(lambda: any(one.working for one in world.engines))
+    _evacuate(world, "a", "b")
+    request.join()
     assert (answers[0].status, answers[0].whole) == (200, True)
 
 
-def test_no_connection_is_made_to_servers_there(places):
-    _evacuate(places, "a")
+def test_evacuated_servers_are_not_probed(world):
+    _evacuate(world, "a")
     servers = [
-        places.inst.directory.get(one.server_id) for one in _of(places, "a")
+        world.inst.directory.get(one.server_id) for one in _of(world, "a")
     ]
     for one in servers:
-        places.inst.servers.reach.doubt(one)
+        world.inst.servers.reach.doubt(one)
     gevent.sleep(0.1)
-    assert all(one.accepted == 0 for one in _of(places, "a"))
+    assert all(one.accepted == 0 for one in _of(world, "a"))
 
 
-def test_all_data_centres_evacuated_is_a_true_refusal_at_once(places):
-    _evacuate(places, "a", "b")
+def test_evacuation_of_all_data_centres_rejects_requests_at_once(world):
+    _evacuate(world, "a", "b")
     began_s = boottime.now()
-    answer = places.ask("/alarm/1", Request_Id="r")
-    assert (answer.status, places.runs("r")) == (503, 0)
+    answer = world.ask("/alarm/1", Request_Id="r")
+    assert (answer.status, world.runs("r")) == (503, 0)
     assert 0 < float(answer.headers["retry-after"]) <= 5.0
     assert boottime.now() - began_s < 1.0
-    assert places.inst.ready
-    _lift(places, "b")
-    assert places.ask("/alarm/1").status == 200
+    assert world.inst.ready
+    _lift(world, "b")
+    assert world.ask("/alarm/1").status == 200
 
 
-def test_parts_are_relayed_before_they_are_needed_elsewhere(
-    places, monkeypatch
+def test_prompt_parts_are_transferred_from_evacuated_servers(
+    world, monkeypatch
 ):
-    """Requests that come in time bring them over; later ones do not ask."""
+    """Requests soon after the evacuation fetch from them; later ones do not."""
     parts = "aa:500,bb:2500,own:9"
-    assert places.ask("/digest/1", Prefix_Hash=parts).status == 200
-    (holder,) = [one for one in places.engines if one.runs]
-    _evacuate(places, holder.data_centre)
-    assert places.ask("/digest/1", Prefix_Hash=parts).status == 200
-    taker = next(one for one in places.engines if one.runs and one != holder)
+    assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
+    (holder,) = [one for one in world.engines if one.runs]
+    _evacuate(world, holder.data_centre)
+    assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
+    taker = next(one for one in world.engines if one.runs and one != holder)
     assert taker.runs[-1].headers["kv-fetch"] == holder.address
     monkeypatch.setattr(evacuations, "HAND_ON_S", 0.0)
-    assert places.ask("/digest/1", Prefix_Hash="cc:2500,own:9").status == 200
+    assert world.ask("/digest/1", Prefix_Hash="cc:2500,own:9").status == 200
     sources = [
         run.headers.get("kv-fetch")
-        for one in places.engines
+        for one in world.engines
         for run in one.runs[-1:]
         if run.headers["prefix-hash"] == "cc:2500,own:9"
     ]
-    there = {one.address for one in _of(places, holder.data_centre)}
-    assert not there & set(sources)
+    evacuated = {one.address for one in _of(world, holder.data_centre)}
+    assert not evacuated & set(sources)
 
 
 @pytest.mark.parametrize(
@@ -138,7 +141,7 @@
         ("evacuate/a", "WzFd"),
     ],
 )
-def test_a_row_that_is_no_evacuation_changes_nothing(make_world, key, value):
+def test_malformed_evacuation_row_is_ignored(make_world, key, value):
     world = make_world(places=("a", "b"), known_places=("a", "b"))
     problems = []
     world.inst.log.problem = lambda name, **fields: problems.append(name)
@@ -149,7 +152,7 @@
     assert problems
 
 
-def test_an_instance_that_starts_later_knows_it():
+def test_instance_started_later_knows_of_the_evacuation():
     world = world_module.World(configured=False, places=("a", "b"))
     world.store.put("op", "evacuate/a", {})
     world.store.put("op", "config", world_module.config(1))
@@ -163,7 +166,7 @@
 @pytest.mark.parametrize(
     "mode", [store.Mode.BUSY, store.Mode.RESET, store.Mode.SLOW]
 )
-def test_it_is_known_in_two_thirds_of_the_bound_through_trouble(
+def test_evacuation_is_known_in_two_thirds_of_the_bound_despite_faults(
     make_world, mode
 ):
     bounds = settings.Bounds(evacuated_ms=5000)
@@ -176,7 +179,7 @@
     assert world.inst.evacuations.now() == {"a"}
 
 
-def test_it_is_known_though_the_answer_that_tells_it_is_lost(make_world):
+def test_evacuation_is_known_if_the_response_is_lost(make_world):
     bounds = settings.Bounds(evacuated_ms=5000)
     world = make_world(places=("a", "b"), bounds=bounds)
     world.wait(lambda: any(t == "op" and ms for t, ms in world.store.asked))
@@ -188,13 +191,13 @@
     assert world.inst.evacuations.now() == {"a"}
 
 
-def test_forgotten_history_does_not_hide_that_it_was_lifted(places):
-    _evacuate(places, "a", "b")
-    places.store.mode = store.Mode.BUSY
-    places.store.drop("op", "evacuate/a")
-    places.store.forget_history()
-    places.store.mode = store.Mode.WELL
-    places.wait(lambda: places.inst.evacuations.now() == {"b"})
+def test_lifted_evacuation_is_seen_after_loss_of_history(world):
+    _evacuate(world, "a", "b")
+    world.store.mode = store.Mode.BUSY
+    world.store.drop("op", "evacuate/a")
+    world.store.forget_history()
+    world.store.mode = store.Mode.WELL
+    world.wait(lambda: world.inst.evacuations.now() == {"b"})
 
 
 def _at(revision, era=0):
@@ -205,50 +208,50 @@
     return evacuations.Evacuation(data_centre=name, in_force=in_force)
 
 
-_STORIES = {
+_SEQUENCES = {
     "begun and lifted": [
         ("replace", [], _at(1), 0.0, set()),
         ("change", [_row("a")], _at(2), 1.0, {"a"}),
         ("change", [_row("b"), _row("a", False)], _at(3), 2.0, {"b"}),
         ("replace", [], _at(4), 3.0, set()),
     ],
-    "an older word comes later": [
+    "an older event arrives later": [
         ("replace", ["a"], _at(5), 0.0, {"a"}),
         ("replace", [], _at(4), 1.0, {"a"}),
         ("change", [_row("a", False)], _at(3), 1.0, {"a"}),
     ],
-    "the copy lacks it, and it is written again": [
+    "the backup lacks it, and it is written again": [
         ("replace", ["a"], _at(9), 0.0, {"a"}),
         ("replace", [], _at(2, 1), 1.0, {"a"}),
         ("change", [_row("a")], _at(3, 1), 2.0, {"a"}),
         ("expire", 60.0, {"a"}),
         ("change", [_row("a", False)], _at(4, 1), 61.0, set()),
     ],
-    "the copy lacks it, and others are written again": [
+    "the backup lacks it, and others are written again": [
         ("replace", ["a"], _at(9), 0.0, {"a"}),
         ("replace", [], _at(9, 1), 1.0, {"a"}),
         ("wrote", 2.0, {"a"}),
         ("expire", 4.0, {"a"}),
         ("expire", 4.3, set()),
     ],
-    "the copy lacks it, and nobody writes": [
+    "the backup lacks it, and nothing is written": [
         ("replace", ["a"], _at(9), 0.0, {"a"}),
         ("replace", [], _at(12, 1), 1.0, {"a"}),
         ("expire", 30.0, {"a"}),
         ("expire", 31.1, set()),
     ],
-    "its withdrawal was lost with the copy": [
+    "the backup lacks that it was lifted": [
         ("replace", ["a"], _at(5), 0.0, {"a"}),
         ("change", [_row("a", False)], _at(9), 1.0, set()),
         ("replace", ["a"], _at(5, 1), 2.0, {"a"}),
         ("change", [_row("a", False)], _at(6, 1), 3.0, set()),
     ],
-    "a word of the era before comes later": [
+    "an event of the previous era arrives later": [
         ("replace", [], _at(9), 0.0, set()),
         ("replace", ["a"], _at(2, 1), 1.0, {"a"}),
         ("replace", [], _at(20), 2.0, {"a"}),
     ],
-    "two returns": [
+    "two restores": [
         ("replace", ["a", "b"], _at(9), 0.0, {"a", "b"}),
         ("replace", ["b"], _at(2, 1), 1.0, {"a", "b"}),
         ("replace", [], _at(1, 2), 1.5, {"a", "b"}),
@@ -258,34 +261,37 @@
 }
 
 
-@pytest.mark.parametrize("story", _STORIES.values(), ids=_STORIES.keys())
-def test_words_are_taken_in_their_order(story):
-    held = evacuations.Evacuations()
-    for number, (what, *given, expected) in enumerate(story):
+@pytest.mark.parametrize("sequence", _SEQUENCES.values(), ids=_SEQUENCES.keys())
+def test_event_sequences(sequence):
+    tracked = evacuations.Evacuations()
+    for number, (what, *given, expected) in enumerate(sequence):
         if what == "wrote":
-            held.operators_wrote(*given)
+            tracked.operators_wrote(*given)
         else:
-            getattr(held, what)(*given)
-        assert held.now() == expected, (number, what)
+            getattr(tracked, what)(*given)
+        assert tracked.now() == expected, (number, what)
 
 
-def test_what_changed_is_told_once():
-    held = evacuations.Evacuations()
-    first = held.replace(["a"], _at(1), 0.0)
-    again = held.replace(["a"], _at(2), 1.0)
-    lifted = held.replace([], _at(3), 2.0)
+def test_changes_are_reported_once():
+    tracked = evacuations.Evacuations()
+    first = tracked.replace(["a"], _at(1), 0.0)
+    again = tracked.replace(["a"], _at(2), 1.0)
+    lifted = tracked.replace([], _at(3), 2.0)
     assert (first.begun, bool(again), lifted.lifted) == ({"a"}, False, {"a"})
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"3", b"\xff", b'{"a"'])
-def test_the_row_of_an_evacuation_is_an_object(data):
+def test_evacuation_row_must_be_an_object(data):
     with pytest.raises(ValueError):
         documents.evacuation("a", data)
 
 
-def test_evacuated_servers_count_in_the_mean_load(places):
-    """Else those that take all would go up to the bound of a mean of theirs."""
-    _evacuate(places, "a")
-    assert {s.data_centre for s in places.inst.eligible.usable("lm")} == {"b"}
-    idle = places.inst.eligible.evacuated("lm")
+def test_evacuated_servers_count_in_the_mean_load(world):
+    """Otherwise the remaining servers would be limited by their own mean only.
+
+    They take all requests and would be filled up to the bound of that mean.
+    """
+    _evacuate(world, "a")
+    assert {s.data_centre for s in world.inst.eligible.usable("lm")} == {"b"}
+    idle = world.inst.eligible.evacuated("lm")
     assert {s.data_centre for s in idle} == {"a"}
--- a/irisshelf/tests/test_regions.py
+++ b/irisshelf/tests/test_regions.py
@@ -1,8 +1,8 @@
-"""Routes and teams whose requests may be served in some regions only.
+"""Routes and teams whose requests may be served in certain regions only.
 
-The pattern: three regions, of which a team's contract or a law names some. A
-request reaches servers there and nowhere else, whatever becomes of them, and
-its prompt is fetched from there alone.
+Among three regions, a contract or a law permits a team only some. Requests must
+reach servers in these regions only, whatever happens to the servers, and cached
+prompts must be fetched from these regions only.
 """
 
 import pytest
@@ -15,7 +15,7 @@
 
 Fault = server.Fault
 _PLACES = ("a", "b", "c", "d")
-# Data centre d is in no region that is known.
+# The region of data centre d is not known.
 _REGIONS = {"a": "north", "b": "south", "c": "east"}
 
 
@@ -34,8 +34,8 @@
 
 
 def _ran_in(world):
-    everyone = [*world.plain, *world.engines]
-    return {one.data_centre for one in everyone if one.runs}
+    servers = [*world.plain, *world.engines]
+    return {one.data_centre for one in servers if one.runs}
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
     ],
 )
 @pytest.mark.parametrize("target", ["/digest/1", "/alarm/1", "/valve/1"])
-def test_requests_are_served_where_both_allow_it(
+def test_requests_are_served_where_route_and_team_allow(
     make_world, route, team, places, target
 ):
     world = _world(make_world, route=route, team=team)
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize(
     ("route", "team"), [(("north",), ("south",)), (("west",), ())]
 )
-def test_where_nothing_is_allowed_it_is_a_true_refusal(make_world, route, team):
+def test_request_without_an_allowed_region_is_rejected(make_world, route, team):
     world = _world(make_world, route=route, team=team)
     answer = world.ask("/alarm/1", Request_Id="r")
     assert (answer.status, world.runs("r")) == (503, 0)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("target", ["/digest/1", "/valve/1"])
-def test_a_second_send_stays_there(make_world, target):
+def test_retry_stays_in_allowed_regions(make_world, target):
     world = _world(make_world, team=("north", "south"))
     for one in [*world.plain, *world.engines]:
         one.always = Fault.FAIL
@@ -80,7 +80,7 @@
     assert _ran_in(world) <= {"a", "b"}
 
 
-def test_all_servers_there_lost_is_a_true_refusal(make_world):
+def test_request_is_rejected_if_all_allowed_servers_are_lost(make_world):
     world = _world(make_world, route=("north",))
     for one in [*world.plain, *world.engines]:
         if one.data_centre == "a":
@@ -89,8 +89,8 @@
     assert (answer.status, world.runs("r")) == (503, 0)
 
 
-def test_parts_are_fetched_from_there_alone(make_world):
-    """Whoever else has read them serves teams that may be served anywhere."""
+def test_prompt_parts_are_fetched_from_allowed_regions_only(make_world):
+    """Servers elsewhere have them cached from requests of other teams."""
     world = _world(make_world, team=("north",))
     parts = "aa:500,bb:2500,own:9"
     for one in world.engines:
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("regions", [3, "north", [3], {"north": 1}])
-def test_a_configuration_with_other_regions_is_refused(regions):
+def test_configuration_with_malformed_regions_is_rejected(regions):
     document = world_module.config(2)
     document["routes"][0]["allowedRegions"] = regions
     with pytest.raises(ValueError, match="allowedRegions"):
@@ -126,6 +126,6 @@
         ([["a"], ["b"]], set()),
     ],
 )
-def test_regions_in_common(allowed, common):
-    found = model.common_regions(*map(frozenset, allowed))
-    assert found == common
+def test_common_regions(allowed, common):
+    actual = model.common_regions(*map(frozenset, allowed))
+    assert actual == common
--- a/irisshelf/tests/test_shared_watch.py
+++ b/irisshelf/tests/test_shared_watch.py
@@ -1,12 +1,11 @@
-"""One watch on the store for a data centre: no bound is missed by it.
-
-Instances, the store and the datagrams between them are played in virtual time,
-with the real decisions. The pattern: forty instances of a data centre, changes
-of configuration and servers at any moment, while instances freeze, are killed
-or cut off (the watcher first), datagrams are late, doubled or lost, and the
-store is away, has forgotten its history, or comes back from a copy. What an
-instance has to know, and when, follows from the bounds in ``settings.Bounds``;
-calls are counted.
+"""Simulation of a data centre whose instances share one watch on the store.
+
+Guards against missed bounds of ``settings.Bounds`` and underestimated ages of
+data. The simulation runs the real decision code of forty instances in virtual
+time, with a simulated store and datagrams. Configurations and servers change at
+any time, while instances, the watcher above all, freeze, are killed or are cut
+off, datagrams are delayed, duplicated or lost, and the store is unavailable,
+loses its history or is restored from a backup. Calls to the store are counted.
 """
 
 import heapq
@@ -30,10 +29,10 @@
 _Verdict = shared_watch.Verdict
 _LARGE = settings.Bounds(catalog_in_force_ms=4000, server_leaving_ms=4000)
 _TIGHT = settings.Bounds(catalog_in_force_ms=2000, server_leaving_ms=2000)
-# An instance that had trouble within this time is held to no bound.
-_CONTACT_S = 5.0
+# Bounds do not apply to an instance with a fault within this time.
+_RECOVERY_S = 5.0
 _STORE_CLOCK_S = 1000.0
-_ANSWER_S = 0.6
+_RESPONSE_TIMEOUT_S = 0.6
 _BACKOFF_S = 0.6
 
 
@@ -42,224 +41,233 @@
 
 
 class _Store:
-    def __init__(self, play):
-        self._play = play
-        self.ver = 1
-        self.away_until_s = -_CONTACT_S
-        self.forgotten = 0
+    def __init__(self, sim):
+        self._sim = sim
+        self.revision = 1
+        self.unavailable_until_s = -_RECOVERY_S
+        # Changes up to this revision are no longer available.
+        self.history_start = 0
         self.calls = 0
-        # Accepted configurations and changes of servers: (time, ver, what).
+        # Accepted configurations and server changes as (time, revision, value).
         self.versions = [(0.0, 1, 1)]
         self.changes = []
         self.era = 0
-        self.back_s = 0.0
+        self.restored_s = 0.0
         self._clock_s = _STORE_CLOCK_S
-        self._held = []
+        self._pending = []
 
-    def write(self, table, what):
-        self.ver += 1
-        entry = (self._play.now, self.ver, what)
+    def write(self, table, value):
+        self.revision += 1
+        entry = (self._sim.now, self.revision, value)
         (self.versions if table is _CATALOG else self.changes).append(entry)
-        held, self._held = self._held, []
-        for call in held:
-            self._serve(*call)
+        pending, self._pending = self._pending, []
+        for call in pending:
+            self._respond(*call)
 
-    def come_back_from_copy(self, age_s):
-        """Loses what it took in the last seconds; returns that."""
-        begin_s = self._play.now - age_s
+    def restore_from_backup(self, age_s):
+        """Loses and returns the writes of the last ``age_s`` seconds."""
+        begin_s = self._sim.now - age_s
         lost_versions = [r for r in self.versions[1:] if r[0] > begin_s]
         lost_changes = [r for r in self.changes if r[0] > begin_s]
         self.versions = [r for r in self.versions if r not in lost_versions]
         self.changes = [r for r in self.changes if r not in lost_changes]
         kept = self.versions + self.changes
-        self.ver = max(ver for _, ver, _ in kept)
-        self.forgotten = min(self.forgotten, self.ver)
+        self.revision = max(revision for _, revision, _ in kept)
+        self.history_start = min(self.history_start, self.revision)
         self.era += 1
-        self.back_s = self._play.now
-        self._clock_s = self._play.rng.uniform(0.0, 5000.0)
-        held, self._held = self._held, []
-        for call in held:
-            self._serve(*call)
+        self.restored_s = self._sim.now
+        self._clock_s = self._sim.rng.uniform(0.0, 5000.0)
+        pending, self._pending = self._pending, []
+        for call in pending:
+            self._respond(*call)
         return lost_versions, lost_changes
 
-    def ask(self, node, table, after, until_s, reply):
+    def poll(self, node, table, after, until_s, reply):
         self.calls += 1
         if self._unreachable(node):
-            # Nothing comes; the caller's time limit ends it.
+            # There is no response; the caller's timeout ends the call.
             return
-        self._serve(node, table, after, until_s, reply)
+        self._respond(node, table, after, until_s, reply)
 
-    def _serve(self, node, table, after, until_s, reply):
+    def _respond(self, node, table, after, until_s, reply):
         if self._unreachable(node):
             return
-        if after is not None and not self.forgotten <= after <= self.ver:
+        if (
+            after is not None
+            and not self.history_start <= after <= self.revision
+        ):
             reply(None)
             return
         rows = self.versions if table is _CATALOG else self.changes
-        news = [row for row in rows if after is None or row[1] > after]
-        if news or after is None or self._play.now >= until_s:
-            where = position.Position(era=self.era, revision=self.ver)
-            reply((news, where, self._play.now + self._clock_s))
+        new_rows = [row for row in rows if after is None or row[1] > after]
+        if new_rows or after is None or self._sim.now >= until_s:
+            at = position.Position(era=self.era, revision=self.revision)
+            reply((new_rows, at, self._sim.now + self._clock_s))
             return
         call = (node, table, after, until_s, reply)
-        self._held.append(call)
-        self._play.at(until_s, lambda: self._end(call))
+        self._pending.append(call)
+        self._sim.at(until_s, lambda: self._end_long_poll(call))
 
     def _unreachable(self, node):
-        now = self._play.now
-        return now < self.away_until_s or now < node.store_cut_until_s
+        now = self._sim.now
+        return (
+            now < self.unavailable_until_s
+            or now < node.store_unreachable_until_s
+        )
 
-    def _end(self, call):
-        if call in self._held:
-            self._held.remove(call)
-            self._serve(*call)
+    def _end_long_poll(self, call):
+        if call in self._pending:
+            self._pending.remove(call)
+            self._respond(*call)
 
 
 class _Node:
-    """One life of an instance; decides as the follower does."""
+    """One incarnation of an instance; makes the follower's decisions."""
 
-    def __init__(self, play, name):
-        self.play = play
+    def __init__(self, sim, name):
+        self.sim = sim
         self.name = name
-        # Each machine's steady clock runs from another moment.
-        self._skew_s = play.rng.uniform(-500, 500)
+        # The steady clock of each machine starts at a different time.
+        self._skew_s = sim.rng.uniform(-500, 500)
         self.member = membership_module.Member(
             name=name, address=name, data_centre="a"
         )
-        self.roster = membership_module.Membership(own=self.member)
+        self.membership = membership_module.Membership(own=self.member)
         self.fresh = freshness.Freshness()
         self.watches = {t: table_watch.TableWatch() for t in feed.Table}
         self.log = shared_watch.ChangeLog()
         self.version = None
         self.stored = None
         self.servers = {}
-        self.born_s = self.troubled_s = play.now
+        self.born_s = self.faulty_until_s = sim.now
         self.frozen_until_s = 0.0
         self.alive = True
-        self.store_cut_until_s = 0.0
-        self.deaf_until_s = 0.0
-        self._turn = dict.fromkeys(feed.Table, 0)
-        self._resting = dict.fromkeys(feed.Table, False)
-        self._calling = dict.fromkeys(feed.Table, False)
+        self.store_unreachable_until_s = 0.0
+        self.isolated_until_s = 0.0
+        self._poll_number = dict.fromkeys(feed.Table, 0)
+        self._waiting = dict.fromkeys(feed.Table, False)
+        self._polling = dict.fromkeys(feed.Table, False)
 
     @property
-    def deaf(self):
-        return self.play.now < self.deaf_until_s
+    def isolated(self):
+        return self.sim.now < self.isolated_until_s
 
     @property
     def clock_s(self):
-        return self.play.now + self._skew_s
+        return self.sim.now + self._skew_s
 
-    def later(self, delay_s, act):
-        """Acts after a while, unless killed; not before it wakes."""
+    def later(self, delay_s, action):
+        """Runs an action after a delay and any freeze, unless killed."""
 
         def due():
             if not self.alive:
                 return
-            if self.play.now < self.frozen_until_s:
-                self.play.at(self.frozen_until_s, due)
+            if self.sim.now < self.frozen_until_s:
+                self.sim.at(self.frozen_until_s, due)
                 return
-            act()
+            action()
 
-        self.play.at(self.play.now + delay_s, due)
+        self.sim.at(self.sim.now + delay_s, due)
 
     def role(self):
-        return shared_watch.role(self.roster, self.clock_s)
+        return shared_watch.role(self.membership, self.clock_s)
 
-    def turn(self, table, number):
-        """Asks the store, or rests as long as updates suffice."""
-        if number != self._turn[table]:
+    def schedule_poll(self, table, number):
+        """Polls the store, or waits for as long as updates suffice."""
+        if number != self._poll_number[table]:
             return
         watch = self.watches[table]
-        until_s = watch.updates_suffice_until_s(self.role(), self.play.timing)
-        self._resting[table] = until_s > self.clock_s
-        if self._resting[table]:
-            # What the timer is late by in the worst case.
+        until_s = watch.updates_suffice_until_s(self.role(), self.sim.timing)
+        self._waiting[table] = until_s > self.clock_s
+        if self._waiting[table]:
+            # The timer fires up to 1 ms late in the worst case.
             left_s = until_s - self.clock_s + 0.001
-            self.later(left_s, lambda: self.turn(table, number))
+            self.later(left_s, lambda: self.schedule_poll(table, number))
             return
-        self._ask(table)
+        self._start_poll(table)
 
-    def next_turn(self, table, delay_s=0.0):
-        self._calling[table] = False
-        self._turn[table] += 1
-        number = self._turn[table]
-        self.later(delay_s, lambda: self.turn(table, number))
+    def restart_polling(self, table, delay_s=0.0):
+        self._polling[table] = False
+        self._poll_number[table] += 1
+        number = self._poll_number[table]
+        self.later(delay_s, lambda: self.schedule_poll(table, number))
 
-    def _ask(self, table):
+    def _start_poll(self, table):
         watch = self.watches[table]
-        hold_s = watch.long_poll_s(
+        long_poll_s = watch.long_poll_s(
             self.role(),
-            self.play.timing,
-            standalone_s=store_timing.hold_s(table, self.play.bounds),
+            self.sim.timing,
+            standalone_s=store_timing.hold_s(table, self.sim.bounds),
             now=self.clock_s,
         )
         watch.record_request()
-        self._calling[table] = True
-        self._turn[table] += 1
-        number = self._turn[table]
+        self._polling[table] = True
+        self._poll_number[table] += 1
+        number = self._poll_number[table]
         sent_s = self.clock_s
         after = watch.position
         if table is _CATALOG and watch.should_read_snapshot(sent_s):
             after = None
 
-        def reply(answer):
-            way_s = self.play.way_s()
+        def reply(response):
+            latency_s = self.sim.latency_s()
             self.later(
-                way_s,
-                lambda: self._answer(table, number, sent_s, after, answer),
+                latency_s,
+                lambda: self._on_response(
+                    table, number, sent_s, after, response
+                ),
             )
 
         def sent():
-            until_s = self.play.now + hold_s
+            until_s = self.sim.now + long_poll_s
             asked = None if after is None else after.revision
-            self.play.store.ask(self, table, asked, until_s, reply)
+            self.sim.store.poll(self, table, asked, until_s, reply)
 
-        self.play.at(self.play.now + self.play.way_s(), sent)
-        self.later(hold_s + _ANSWER_S, lambda: self._fail(table, number))
+        self.sim.at(self.sim.now + self.sim.latency_s(), sent)
+        self.later(
+            long_poll_s + _RESPONSE_TIMEOUT_S, lambda: self._fail(table, number)
+        )
 
     def _fail(self, table, number):
-        if number != self._turn[table]:
+        if number != self._poll_number[table]:
             return
         self.watches[table].record_failure()
-        self.next_turn(table, self.play.rng.uniform(0.5, 1.5) * _BACKOFF_S)
-        if table is _CATALOG and self._calling[_SERVERS]:
-            # Its connection is reset, as it may be as dead.
-            self._fail(_SERVERS, self._turn[_SERVERS])
+        self.restart_polling(table, self.sim.rng.uniform(0.5, 1.5) * _BACKOFF_S)
+        if table is _CATALOG and self._polling[_SERVERS]:
+            # The other connection is reset too, as it may be dead as well.
+            self._fail(_SERVERS, self._poll_number[_SERVERS])
 
-    def _answer(self, table, number, sent_s, after, answer):
-        if number != self._turn[table]:
+    def _on_response(self, table, number, sent_s, after, response):
+        if number != self._poll_number[table]:
             return
         watch = self.watches[table]
-        if answer is None or (after and after.era != answer[1].era):
+        if response is None or (after and after.era != response[1].era):
             watch.record_history_lost()
-            self.next_turn(table)
+            self.restart_polling(table)
             return
-        news, where, store_s = answer
+        new_rows, at, store_s = response
         whole = after is None
-        newest = watch.record_response(where, self.clock_s, whole=whole)
+        newest = watch.record_response(at, self.clock_s, whole=whole)
         if table is _CATALOG and newest:
-            self._take_versions(news, where, sent_s, store_s, whole)
+            self._apply_versions(new_rows, at, sent_s, store_s, whole)
         elif newest:
             if whole:
                 self.servers = {}
-                self.log.reset(where)
-            self._change(news, where, logged=not whole)
+                self.log.reset(at)
+            self._apply_changes(new_rows, at, logged=not whole)
         if self.role() is _Role.WATCHER and newest:
-            self._tell(table, where, store_s)
+            self._broadcast(table, at, store_s)
         pause_s = 0.0
-        if news:
-            pause_s = store_timing.gather_s(
-                table, self.play.bounds, self.role()
-            )
-        self.next_turn(table, pause_s)
+        if new_rows:
+            pause_s = store_timing.gather_s(table, self.sim.bounds, self.role())
+        self.restart_polling(table, pause_s)
 
-    def _take_versions(self, news, where, sent_s, store_s, whole):
+    def _apply_versions(self, new_rows, at, sent_s, store_s, whole):
         before = self.version
         if whole:
             self.stored = None
-        if news:
-            self.stored = news[-1][2]
+        if new_rows:
+            self.stored = new_rows[-1][2]
             self.version = max(self.version or 0, self.stored)
         if self.behind():
             return
@@ -267,36 +275,36 @@
             sent_s=sent_s,
             received_s=self.clock_s,
             store_s=store_s,
-            era=where.era,
+            era=at.era,
         )
         brought = before is not None and self.version > before
-        as_of_s = self.fresh.time_of(store_s, self.clock_s, where.era)
+        as_of_s = self.fresh.time_of(store_s, self.clock_s, at.era)
         self.watches[_CATALOG].record_caught_up(
             as_of_s if brought else self.clock_s
         )
 
     def behind(self):
-        """Whether the store lacks the configuration in force."""
+        """Returns whether the store lacks the configuration in force."""
         return self.stored is None or self.stored < self.version
 
-    def _change(self, rows, where, *, logged=True):
+    def _apply_changes(self, rows, at, *, logged=True):
         for _, _, (name, there) in rows:
             self.servers[name] = there
         if logged:
             changes = tuple(_change(*row[2]) for row in rows)
-            self.log.append(changes, where, self.clock_s)
+            self.log.append(changes, at, self.clock_s)
 
-    def _tell(self, table, where, store_s):
+    def _broadcast(self, table, at, store_s):
         update = self.log.build_update(store_s, self.clock_s)
         if table is _CATALOG:
             update = shared_watch.CatalogUpdate(
-                store_s=store_s, version=self.stored, position=where
+                store_s=store_s, version=self.stored, position=at
             )
-        for other in self.play.nodes.values():
-            if other is not self and not other.deaf and not self.deaf:
-                self.play.datagram(other, update)
+        for other in self.sim.nodes.values():
+            if other is not self and not other.isolated and not self.isolated:
+                self.sim.send_datagram(other, update)
 
-    def take(self, update):
+    def receive(self, update):
         as_of_s = self.fresh.time_of(
             update.store_s, self.clock_s, update.position.era
         )
@@ -322,9 +330,9 @@
                 self.log.append(update.changes, update.position, self.clock_s)
                 watch.advance_to(update.position)
         self.watches[table].record_update(as_of_s, update.position, verdict)
-        if self._resting[table]:
-            self._resting[table] = False
-            self.next_turn(table)
+        if self._waiting[table]:
+            self._waiting[table] = False
+            self.restart_polling(table)
 
 
 def _change(name, there):
@@ -334,8 +342,8 @@
     return directory.Change(entry_id=name, server=server if there else None)
 
 
-class _Play:
-    """Plays a data centre, and checks what its instances believe."""
+class _Simulation:
+    """Simulates a data centre and checks the state of its instances."""
 
     def __init__(self, *, seed, bounds, count=40, loss=0.01):
         self.rng = random.Random(seed)
@@ -350,51 +358,51 @@
         self.nodes = {}
         for number in range(count):
             self.start(f"n{number}")
-        self._beat()
+        self._exchange_membership()
 
-    def at(self, when_s, act):
-        heapq.heappush(self._events, (when_s, next(self._order), act))
+    def at(self, when_s, action):
+        heapq.heappush(self._events, (when_s, next(self._order), action))
 
-    def way_s(self):
+    def latency_s(self):
         return self.rng.uniform(0.001, 0.01)
 
     def run_to(self, end_s):
         while self._events and self._events[0][0] <= end_s:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
         self.now = end_s
 
     def start(self, name):
         node = self.nodes[name] = _Node(self, name)
         for table in feed.Table:
-            node.next_turn(table, self.rng.uniform(0, 0.3))
+            node.restart_polling(table, self.rng.uniform(0, 0.3))
 
-    def datagram(self, node, update):
+    def send_datagram(self, node, update):
         copies = self.rng.choices((0, 1, 2), (self._loss, 1, 0.02))[0]
         for _ in range(copies):
-            late_s = 1.5 if self.rng.random() < 0.01 else self.way_s()
-            node.later(late_s, lambda: node.take(update))
+            delay_s = 1.5 if self.rng.random() < 0.01 else self.latency_s()
+            node.later(delay_s, lambda: node.receive(update))
 
     def watcher(self):
-        """Returns the instance that the others take for the first."""
+        """Returns the instance that the others regard as the leader."""
         ranked = membership_module.rank(n.member for n in self.nodes.values())
         return self.nodes[ranked[0].name]
 
-    def _beat(self):
-        """Instances hear of each other, as long as they can."""
+    def _exchange_membership(self):
+        """Lets the instances learn of each other, unless frozen or isolated."""
         for node in self.nodes.values():
             for other in self.nodes.values():
-                well = self.now >= other.frozen_until_s
-                if well and not other.deaf and not node.deaf:
-                    node.roster.record_alive(other.member, node.clock_s)
+                running = self.now >= other.frozen_until_s
+                if running and not other.isolated and not node.isolated:
+                    node.membership.record_alive(other.member, node.clock_s)
         self._check_ages()
-        self.at(self.now + 1.0, self._beat)
+        self.at(self.now + 1.0, self._exchange_membership)
 
     def configure(self):
         version = self.store.versions[-1][2] + 1
         self.store.write(_CATALOG, version)
         bound_s = self.bounds.catalog_in_force_ms / 1000
-        self._owed(bound_s, lambda node: node.version >= version)
+        self._check_after(bound_s, lambda node: node.version >= version)
 
     def serve(self):
         name = f"s{next(self._servers)}"
@@ -404,28 +412,30 @@
     def retire(self, name):
         self.store.write(_SERVERS, (name, False))
         bound_s = self.bounds.server_leaving_ms / 1000
-        self._owed(bound_s, lambda node: not node.servers.get(name, False))
+        self._check_after(
+            bound_s, lambda node: not node.servers.get(name, False)
+        )
 
-    def _owed(self, bound_s, knows):
-        """Checks later that all whom the bound holds for know something."""
+    def _check_after(self, bound_s, condition):
+        """Checks, after a bound, a condition on all instances it applies to."""
 
         def check():
-            late = [n.name for n in self._in_touch() if not knows(n)]
+            late = [n.name for n in self._bound_instances() if not condition(n)]
             assert not late, (self.now, late)
 
         self.at(self.now + bound_s, check)
 
-    def _in_touch(self):
-        if self.now - self.store.away_until_s <= _CONTACT_S:
+    def _bound_instances(self):
+        if self.now - self.store.unavailable_until_s <= _RECOVERY_S:
             return []
         return [
             node
             for node in self.nodes.values()
-            if self.now - node.troubled_s > _CONTACT_S
+            if self.now - node.faulty_until_s > _RECOVERY_S
         ]
 
     def _check_ages(self):
-        """No instance takes its configuration for newer than it is."""
+        """Checks that no instance underestimates its configuration's age."""
         for node in self.nodes.values():
             known = node.version or 0
             later = [t for t, _, v in self.store.versions if v > known]
@@ -433,138 +443,150 @@
                 age_s = node.fresh.age_s(node.clock_s)
                 assert age_s >= self.now - later[0] - 1e-6, node.name
             if known > self.store.versions[-1][2]:
-                # Nothing confirms it until it is written again.
+                # The store confirms it only after it has been written again.
                 age_s = node.fresh.age_s(node.clock_s)
-                assert age_s >= self.now - self.store.back_s - 1e-6, node.name
+                assert age_s >= self.now - self.store.restored_s - 1e-6, (
+                    node.name
+                )
 
-    # Troubles.
+    # Faults.
 
-    def trouble(self):
+    def inject_fault(self):
         node = self.watcher()
         if self.rng.random() < 0.4:
             node = self.rng.choice(list(self.nodes.values()))
         span_s = self.rng.uniform(0.3, 6.0)
-        kinds = ("freeze", "kill", "cut", "deafen", "away", "forget", "copy")
+        kinds = (
+            "freeze",
+            "kill",
+            "disconnect",
+            "isolate",
+            "outage",
+            "compact",
+            "restore",
+        )
         getattr(self, f"_{self.rng.choice(kinds)}")(node, span_s)
 
     def _freeze(self, node, span_s):
         node.frozen_until_s = max(node.frozen_until_s, self.now + span_s)
-        self._mark(node, span_s)
+        self._mark_faulty(node, span_s)
 
     def _kill(self, node, span_s):
         node.alive = False
         del self.nodes[node.name]
         for other in self.nodes.values():
-            other.roster.remove(node.name)
+            other.membership.remove(node.name)
         self.at(self.now + span_s, lambda: self.start(node.name))
 
-    def _cut(self, node, span_s):
-        node.store_cut_until_s = max(node.store_cut_until_s, self.now + span_s)
-        self._mark(node, span_s)
+    def _disconnect(self, node, span_s):
+        node.store_unreachable_until_s = max(
+            node.store_unreachable_until_s, self.now + span_s
+        )
+        self._mark_faulty(node, span_s)
 
-    def _deafen(self, node, span_s):
-        """No datagram reaches it or comes from it; the store does."""
-        node.deaf_until_s = max(node.deaf_until_s, self.now + span_s)
+    def _isolate(self, node, span_s):
+        """Blocks all datagrams to and from a node, but not the store."""
+        node.isolated_until_s = max(node.isolated_until_s, self.now + span_s)
 
-    def _away(self, node, span_s):
-        self.store.away_until_s = max(
-            self.store.away_until_s, self.now + span_s
+    def _outage(self, node, span_s):
+        self.store.unavailable_until_s = max(
+            self.store.unavailable_until_s, self.now + span_s
         )
 
-    def _forget(self, node, span_s):
-        self.store.forgotten = self.store.ver
+    def _compact(self, node, span_s):
+        self.store.history_start = self.store.revision
 
-    def _copy(self, node, span_s):
-        """The store is away for a moment and comes back from a copy.
+    def _restore(self, node, span_s):
+        """Restores the store from a backup after a short outage.
 
-        What it lost is written again: servers' entries within two seconds.
+        The lost data is written again, server entries within two seconds.
         """
-        away_s = self.rng.uniform(0.1, 2.0)
-        self._away(node, away_s)
+        outage_s = self.rng.uniform(0.1, 2.0)
+        self._outage(node, outage_s)
 
-        def back():
-            lost = self.store.come_back_from_copy(span_s)
+        def restore():
+            lost = self.store.restore_from_backup(span_s)
             for table, rows in zip(feed.Table, lost, strict=True):
-                for _, _, what in rows:
-                    later_s = self.now + self.rng.uniform(0.0, 1.8)
-                    self.at(later_s, lambda t=table, w=what: self._again(t, w))
+                for _, _, value in rows:
+                    at_s = self.now + self.rng.uniform(0.0, 1.8)
+                    self.at(at_s, lambda t=table, w=value: self._rewrite(t, w))
 
-        self.at(self.now + away_s, back)
+        self.at(self.now + outage_s, restore)
 
-    def _again(self, table, what):
-        if table is _SERVERS or what > self.store.versions[-1][2]:
-            self.store.write(table, what)
+    def _rewrite(self, table, value):
+        if table is _SERVERS or value > self.store.versions[-1][2]:
+            self.store.write(table, value)
 
-    def _mark(self, node, span_s):
-        node.troubled_s = max(node.troubled_s, self.now + span_s)
+    def _mark_faulty(self, node, span_s):
+        node.faulty_until_s = max(node.faulty_until_s, self.now + span_s)
 
 
 @pytest.mark.parametrize("bounds", [_LARGE, _TIGHT], ids=["large", "tight"])
 @pytest.mark.parametrize("seed", range(12))
-def test_no_bound_is_missed_and_no_age_understated(seed, bounds):
-    play = _Play(seed=seed, bounds=bounds)
-    play.run_to(8.0)
-    servers = [play.serve() for _ in range(5)]
-    while play.now < 120.0:
-        play.run_to(play.now + play.rng.expovariate(2.0))
-        what = play.rng.random()
-        if what < 0.3:
-            play.configure()
-        elif what < 0.6:
-            servers.append(play.serve())
-        elif what < 0.85:
-            play.retire(servers.pop(play.rng.randrange(len(servers))))
-            servers.append(play.serve())
+def test_bounds_are_met_and_ages_not_underestimated_under_faults(seed, bounds):
+    sim = _Simulation(seed=seed, bounds=bounds)
+    sim.run_to(8.0)
+    servers = [sim.serve() for _ in range(5)]
+    while sim.now < 120.0:
+        sim.run_to(sim.now + sim.rng.expovariate(2.0))
+        event = sim.rng.random()
+        if event < 0.3:
+            sim.configure()
+        elif event < 0.6:
+            servers.append(sim.serve())
+        elif event < 0.85:
+            sim.retire(servers.pop(sim.rng.randrange(len(servers))))
+            servers.append(sim.serve())
         else:
-            play.trouble()
-    play.run_to(play.now + 15.0)
+            sim.inject_fault()
+    sim.run_to(sim.now + 15.0)
 
 
-@pytest.mark.parametrize("kind", ["freeze", "kill", "cut", "deafen"])
+@pytest.mark.parametrize("kind", ["freeze", "kill", "disconnect", "isolate"])
 @pytest.mark.parametrize("bounds", [_LARGE, _TIGHT], ids=["large", "tight"])
-def test_a_change_just_after_the_watcher_is_lost_is_known_in_time(kind, bounds):
-    play = _Play(seed=1, bounds=bounds, loss=0.0)
-    play.run_to(8.0)
-    leaver = play.serve()
-    play.run_to(12.0)
-    getattr(play, f"_{kind}")(play.watcher(), 9.0)
-    play.configure()
-    play.retire(leaver)
-    play.run_to(40.0)
+def test_change_right_after_loss_of_the_watcher_meets_its_bound(kind, bounds):
+    sim = _Simulation(seed=1, bounds=bounds, loss=0.0)
+    sim.run_to(8.0)
+    server = sim.serve()
+    sim.run_to(12.0)
+    getattr(sim, f"_{kind}")(sim.watcher(), 9.0)
+    sim.configure()
+    sim.retire(server)
+    sim.run_to(40.0)
 
 
 @pytest.mark.parametrize("bounds", [_LARGE, _TIGHT], ids=["large", "tight"])
-def test_readers_hardly_call(bounds):
-    """Forty alone make 0.6 calls a second each, 1,440 in a minute."""
-    play = _Play(seed=2, bounds=bounds)
-    play.run_to(10.0)
-    before = play.store.calls
-    play.run_to(70.0)
-    watchers_own = 2 * 60.0 / play.timing.long_poll_s
-    assert play.store.calls - before < 1.3 * watchers_own
-    assert watchers_own <= 240
+def test_readers_add_few_calls_to_those_of_the_watcher(bounds):
+    """Standalone, the forty make 0.6 calls a second each, 1,440 a minute."""
+    sim = _Simulation(seed=2, bounds=bounds)
+    sim.run_to(10.0)
+    before = sim.store.calls
+    sim.run_to(70.0)
+    watcher_calls = 2 * 60.0 / sim.timing.long_poll_s
+    assert sim.store.calls - before < 1.3 * watcher_calls
+    assert watcher_calls <= 240
 
 
 @pytest.mark.parametrize(
     ("others", "role"),
     [(0, _Role.STANDALONE), (6, _Role.STANDALONE), (7, None), (40, None)],
 )
-def test_few_instances_ask_by_themselves(others, role):
+def test_few_instances_poll_on_their_own(others, role):
     names = [f"n{number}" for number in range(others + 1)]
-    found = []
+    roles = []
     for name in names:
         own = membership_module.Member(name=name, address=name, data_centre="a")
-        made = membership_module.Membership(own=own)
+        membership = membership_module.Membership(own=own)
         for other in names:
             member = membership_module.Member(
                 name=other, address=other, data_centre="a"
             )
-            made.record_alive(member, 0.0)
-        found.append(shared_watch.role(made, 1.0))
+            membership.record_alive(member, 0.0)
+        roles.append(shared_watch.role(membership, 1.0))
     if role is not None:
-        assert set(found) == {role}
+        assert set(roles) == {role}
     else:
-        assert sorted(found) == [_Role.READER] * others + [_Role.WATCHER]
+        assert sorted(roles) == [_Role.READER] * others + [_Role.WATCHER]
 
 
 @pytest.mark.parametrize(
@@ -576,7 +598,7 @@
         (_at(15), _Verdict.APPLY),
         (_at(20), _Verdict.CURRENT),
         (_at(25), _Verdict.CURRENT),
-        # An update of era 1, before and after a copy came back.
+        # The update is from era 1, the known position from era 0 or 2.
         (_at(9, era=0), _Verdict.FETCH),
         (_at(15, era=0), _Verdict.FETCH),
         (_at(20, era=0), _Verdict.FETCH),
@@ -586,7 +608,7 @@
         (_at(25, era=2), _Verdict.STALE),
     ],
 )
-def test_changes_are_applied_only_without_a_gap(known, verdict):
+def test_servers_update_is_applied_only_without_a_gap(known, verdict):
     update = shared_watch.ServersUpdate(
         store_s=1.0, since=_at(10), position=_at(20)
     )
@@ -608,7 +630,7 @@
         (_at(9, era=2), 6, _Verdict.STALE),
     ],
 )
-def test_what_an_update_of_the_configuration_is(known, stored, verdict):
+def test_classification_of_catalog_updates(known, stored, verdict):
     update = shared_watch.CatalogUpdate(
         store_s=1.0, version=7, position=_at(20)
     )
@@ -617,7 +639,7 @@
     )
 
 
-def test_the_log_of_changes_is_bounded_and_says_where_it_begins():
+def test_change_log_is_bounded_and_reports_its_start():
     log = shared_watch.ChangeLog()
     log.reset(_at(5))
     for number in range(30):
@@ -631,8 +653,11 @@
     assert log.build_update(1.0, 60.0).since == _at(35)
 
 
-def test_a_position_that_moves_on_without_a_change_leaves_no_gap():
-    """Each configuration moves it; readers asked the store each time."""
+def test_position_advancing_without_changes_leaves_no_gap():
+    """Each new configuration advances the position.
+
+    This used to make all readers poll the store.
+    """
     log = shared_watch.ChangeLog()
     log.reset(_at(5))
     log.append((), _at(9), 0.0)
@@ -642,16 +667,16 @@
     log.append((_change("s1", True),), _at(12), 1.0)
     for now in (1.1, 60.0):
         update = log.build_update(1.0, now)
-        told = [change.entry_id for change in update.changes]
-        known = _at(9) if told else _at(12)
+        ids = [change.entry_id for change in update.changes]
+        known = _at(9) if ids else _at(12)
         assert shared_watch.classify_servers_update(update, known) is (
-            _Verdict.APPLY if told else _Verdict.CURRENT
+            _Verdict.APPLY if ids else _Verdict.CURRENT
         )
-        behind = _Verdict.APPLY if told else _Verdict.FETCH
+        behind = _Verdict.APPLY if ids else _Verdict.FETCH
         assert shared_watch.classify_servers_update(update, _at(5)) is behind
 
 
-def test_a_version_left_out_of_an_answer_is_read_anew():
+def test_version_missing_from_a_response_forces_a_snapshot():
     watch = table_watch.TableWatch()
     watch.record_response(_at(30), 1.0, whole=True)
     watch.record_update(2.0, _at(29), _Verdict.FETCH)
@@ -659,12 +684,12 @@
 
 
 @pytest.mark.parametrize("revision", [10, 30, 50])
-def test_in_a_new_era_the_whole_table_is_read(revision):
+def test_new_era_forces_a_snapshot(revision):
     watch = table_watch.TableWatch()
     watch.record_response(_at(30, era=0), 1.0, whole=True)
     watch.record_update(2.0, _at(revision, era=1), _Verdict.FETCH)
     assert watch.position is None
-    # The call that was under way brings changes of the era before.
+    # The response to a call in flight contains changes of the previous era.
     assert not watch.record_response(_at(60, era=0), 2.1, whole=False)
     assert not watch.record_response(_at(60, era=0), 2.2, whole=True)
     assert watch.position is None
@@ -673,7 +698,7 @@
     assert watch.position == _at(revision, era=1)
 
 
-def test_changes_of_what_is_not_known_any_more_are_left():
+def test_changes_after_history_loss_are_ignored():
     watch = table_watch.TableWatch()
     watch.record_response(_at(30), 1.0, whole=True)
     watch.record_history_lost()
--- a/irisshelf/tests/test_system_suspend.py
+++ b/irisshelf/tests/test_system_suspend.py
@@ -1,10 +1,11 @@
-"""An instance whose machine sleeps: what it knew is older by the sleep.
-
-Seen in a trial: the store fell silent, a second later the machine slept for six
-seconds, and every request sent after that was run, under keys that had last
-been confirmed seven seconds before, where five are allowed. Cause: ages were
-taken from the steady clock, which does not count a sleep. Proof: the same seven
-seconds awake are refused; below, the sleep alone makes the difference.
+"""A suspend of an instance's machine ages everything that the instance knows.
+
+Guards against a failure seen in a trial: the store stopped responding, a second
+later the machine was suspended for six seconds, and afterwards every request
+was run under API keys that had last been confirmed seven seconds before, where
+five are allowed. Ages had been measured by the steady clock, which does not
+count a suspend. Without a suspend, requests are rejected after the same seven
+seconds; in these tests, the suspend alone makes the difference.
 """
 
 import time
@@ -19,31 +20,31 @@
 
 _STRICT = settings.Bounds(keys_strict=True, key_withdrawn_ms=5000.0)
 _LENIENT = settings.Bounds(keys_strict=False)
-# What a machine's sleep leaves as it is; all other clocks of a system count it.
+# Clocks that a suspend does not advance; all others of a system count it.
 _STEADY = (time.CLOCK_MONOTONIC, time.CLOCK_MONOTONIC_RAW)
 
 
 @pytest.fixture
-def sleep(monkeypatch):
-    """Lets the machine sleep, in no time, between two steps of the test."""
-    slept_s = 0.0
+def suspend(monkeypatch):
+    """Returns a function that simulates a suspend between two test steps."""
+    suspended_s = 0.0
     get = time.clock_gettime
 
     def clock_gettime(which):
-        return get(which) + (0.0 if which in _STEADY else slept_s)
+        return get(which) + (0.0 if which in _STEADY else suspended_s)
 
-    def fall_asleep(for_s):
-        nonlocal slept_s
-        slept_s += for_s
+    def advance(for_s):
+        nonlocal suspended_s
+        suspended_s += for_s
 
     monkeypatch.setattr(time, "clock_gettime", clock_gettime)
-    return fall_asleep
+    return advance
 
 
 @pytest.mark.parametrize(
-    ("bounds", "mode", "slept_s", "status"),
+    ("bounds", "mode", "suspended_s", "status"),
     [
-        pytest.param(_STRICT, store.Mode.SILENT, 0.5, 200, id="nap"),
+        pytest.param(_STRICT, store.Mode.SILENT, 0.5, 200, id="short"),
         pytest.param(_STRICT, store.Mode.SILENT, 6, 503, id="strict-6-s"),
         pytest.param(_STRICT, store.Mode.SILENT, 60, 503, id="strict-60-s"),
         pytest.param(_STRICT, store.Mode.RESET, 6, 503, id="strict-reset"),
@@ -51,22 +52,22 @@
         pytest.param(_LENIENT, store.Mode.SILENT, 400, 503, id="lenient-400-s"),
     ],
 )
-def test_keys_hold_no_longer_for_a_sleep(
-    make_world, sleep, bounds, mode, slept_s, status
+def test_suspend_does_not_extend_the_validity_of_keys(
+    make_world, suspend, bounds, mode, suspended_s, status
 ):
     world = make_world(bounds=bounds)
     assert world.ask("/alarm/1").status == 200
     world.store.mode = mode
-    sleep(slept_s)
+    suspend(suspended_s)
     assert world.ask("/alarm/1").status == status
 
 
-@pytest.mark.parametrize("slept_s", [0.5, 3, 6, 60])
-def test_an_instance_serves_again_once_the_store_has_confirmed(
-    make_world, sleep, slept_s
+@pytest.mark.parametrize("suspended_s", [0.5, 3, 6, 60])
+def test_instance_serves_again_after_confirmation_by_the_store(
+    make_world, suspend, suspended_s
 ):
     world = make_world(bounds=_STRICT)
-    sleep(slept_s)
+    suspend(suspended_s)
     world.wait(lambda: world.ask("/alarm/1").status == 200)
 
 
@@ -77,30 +78,30 @@
         pytest.param("/alarm/1", {"Authorization": "Bearer new"}, id="key"),
     ],
 )
-def test_nothing_is_refused_for_good_by_what_slept(
-    make_world, sleep, target, headers
+def test_no_permanent_rejection_based_on_data_from_before_a_suspend(
+    make_world, suspend, target, headers
 ):
-    """Routes and keys may have come meanwhile."""
+    """Routes and keys may have been added in the meantime."""
     world = make_world(bounds=_LENIENT)
     world.store.mode = store.Mode.SILENT
-    sleep(6)
+    suspend(6)
     assert world.ask(target, **headers).status == 503
 
 
-@pytest.mark.parametrize(("slept_s", "new"), [(0.5, 0), (3, 1), (60, 1)])
-def test_a_connection_that_slept_takes_no_request_that_may_run_once(
-    make_world, sleep, slept_s, new
+@pytest.mark.parametrize(("suspended_s", "new"), [(0.5, 0), (3, 1), (60, 1)])
+def test_non_idempotent_request_uses_new_connection_after_suspend(
+    make_world, suspend, suspended_s, new
 ):
     world = make_world(servers=1, bounds=_LENIENT)
     connects = world.inst.metrics.connects.labels("crew")
     assert world.ask("/alarm/1").status == 200
     before = connects._value.get()
-    sleep(slept_s)
+    suspend(suspended_s)
     assert world.ask("/alarm/1").status == 200
     assert connects._value.get() - before == new
 
 
-def test_a_request_whose_time_is_over_is_ended_as_it_wakes(make_world, sleep):
+def test_expired_request_is_ended_after_suspend(make_world, suspend):
     world = make_world(servers=1, bounds=_LENIENT)
     (only,) = world.plain
     only.always = server_module.Fault.SLOW
@@ -108,31 +109,34 @@
     headers = world.headers(b"{}", Deadline_Ms="2000", Request_Id="slept")
     conn.send("POST", "/alarm/1", headers, b"{}", timeout_s=5.0)
     world.wait(lambda: only.working)
-    sleep(6)
+    suspend(6)
     assert world_module.read_answer(conn).status == 504
     assert world.runs("slept") == 1
 
 
 @pytest.mark.parametrize(
-    ("slept_s", "told"), [(0.0, []), (0.05, []), (3, [3.0]), (60, [60.0])]
+    ("suspended_s", "logged_s"),
+    [(0.0, []), (0.05, []), (3, [3.0]), (60, [60.0])],
 )
-def test_a_sleep_is_logged_once_and_counted(make_world, sleep, slept_s, told):
+def test_suspend_is_logged_once_and_counted(
+    make_world, suspend, suspended_s, logged_s
+):
     world = make_world(bounds=_LENIENT)
     lines = []
     world.inst.log.problem = lambda name, **fields: lines.append((name, fields))
-    sleep(slept_s)
+    suspend(suspended_s)
     for _ in range(3):
         world.ask("/alarm/1")
     found = [fields["for_s"] for name, fields in lines if name == "slept"]
-    assert found == pytest.approx(told, abs=0.01)
+    assert found == pytest.approx(logged_s, abs=0.01)
     assert world.inst.metrics.slept._value.get() == pytest.approx(
-        sum(told), abs=0.01
+        sum(logged_s), abs=0.01
     )
 
 
-@pytest.mark.parametrize(("slept_s", "gone"), [(0.5, False), (3, True)])
-def test_a_lapsed_entry_is_not_kept_for_a_sleep(
-    make_world, sleep, slept_s, gone
+@pytest.mark.parametrize(("suspended_s", "gone"), [(0.5, False), (3, True)])
+def test_suspend_does_not_extend_the_grace_period_of_lapsed_entries(
+    make_world, suspend, suspended_s, gone
 ):
     world = make_world(bounds=_LENIENT)
     name = world.plain[0].server_id
@@ -140,37 +144,41 @@
     listed.store_lost()
     world.store.drop("servers", name)
     world.wait(lambda: world.inst.directory._lapsed)
-    sleep(slept_s)
+    suspend(suspended_s)
     world.follower.tables.servers.expire(world.inst.now())
     assert (world.inst.directory.get(name) is None) is gone
 
 
-@pytest.mark.parametrize(("slept_s", "left"), [(3, 0), (60, 5)])
-def test_a_retry_window_passes_in_a_sleep(make_world, sleep, slept_s, left):
+@pytest.mark.parametrize(("suspended_s", "left"), [(3, 0), (60, 5)])
+def test_retry_window_elapses_during_suspend(
+    make_world, suspend, suspended_s, left
+):
     world = make_world(bounds=_LENIENT)
     budget = world.inst.servers.budget("crew")
     while budget.take(world.inst.now()):
         pass
-    sleep(slept_s)
+    suspend(suspended_s)
     assert int(budget.left(world.inst.now())) == left
 
 
-@pytest.mark.parametrize(("slept_s", "fit"), [(0.3, False), (6, True)])
-def test_a_server_has_rested_in_a_sleep(make_world, sleep, slept_s, fit):
+@pytest.mark.parametrize(("suspended_s", "fit"), [(0.3, False), (6, True)])
+def test_server_backoff_elapses_during_suspend(
+    make_world, suspend, suspended_s, fit
+):
     world = make_world(bounds=_LENIENT)
     book = world.inst.servers.chooser("crew").book
     name = world.plain[0].server_id
     for _ in range(3):
         book.seen(name, server_book.Seen.BROKEN, world.inst.now())
-    sleep(slept_s)
+    suspend(suspended_s)
     assert book.fit(name, world.inst.now()) is fit
 
 
-@pytest.mark.parametrize(("slept_s", "known"), [(3, 1), (60, 0)])
-def test_an_instance_that_was_not_heard_of_for_a_sleep_is_not_relied_on(
-    make_world, sleep, slept_s, known
+@pytest.mark.parametrize(("suspended_s", "known"), [(3, 1), (60, 0)])
+def test_membership_expires_during_suspend(
+    make_world, suspend, suspended_s, known
 ):
     world = make_world(bounds=_LENIENT, data_centres=("a", "a"))
     own = world.entries[0].roster
-    sleep(slept_s)
+    suspend(suspended_s)
     assert len(own.members("a", world.inst.now())) == known
