--- a/irisshelf/tests/test_evacuation.py
+++ b/irisshelf/tests/test_evacuation.py
@@ -33,7 +33,9 @@
 
 def _of(world, data_centre):
     servers = [*world.plain, *world.engines]
-    return [one for one in servers if one.data_centre == data_centre]
+    return [
+        backend for backend in servers if backend.data_centre == data_centre
+    ]
 
 
 def _evacuate(world, *names):
@@ -48,7 +50,7 @@
 
 
 def _ran(servers):
-    return sum(len(one.runs) for one in servers)
+    return sum(len(backend.runs) for backend in servers)
 
 
 @pytest.mark.parametrize("target", _KINDS)
@@ -67,19 +69,19 @@
 @pytest.mark.parametrize("target", ["/valve/1", "/digest/1"])
 def test_retry_avoids_evacuated_data_centre(world, target):
     _evacuate(world, "a")
-    for one in _of(world, "b"):
-        one.always = Fault.FAIL
+    for backend in _of(world, "b"):
+        backend.always = Fault.FAIL
     assert world.ask(target).status == 500
     assert _ran(_of(world, "a")) == 0
 
 
 def test_requests_in_flight_complete(world):
-    for one in world.engines:
-        one.always = Fault.PAUSE_MIDWAY
-        one.pause_s = 0.3
+    for backend in world.engines:
+        backend.always = Fault.PAUSE_MIDWAY
+        backend.pause_s = 0.3
     answers = []
     request = gevent.spawn(lambda: answers.append(world.ask("/query/1")))
-    world.wait(lambda: any(one.working for one in world.engines))
+    world.wait(lambda: any(backend.working for backend in world.engines))
     _evacuate(world, "a", "b")
     request.join()
     assert (answers[0].status, answers[0].whole) == (200, True)
@@ -88,12 +90,13 @@
 def test_evacuated_servers_are_not_probed(world):
     _evacuate(world, "a")
     servers = [
-        world.inst.directory.get(one.server_id) for one in _of(world, "a")
+        world.inst.directory.get(backend.server_id)
+        for backend in _of(world, "a")
     ]
-    for one in servers:
-        world.inst.servers.reach.doubt(one)
+    for backend in servers:
+        world.inst.servers.reach.doubt(backend)
     gevent.sleep(0.1)
-    assert all(one.accepted == 0 for one in _of(world, "a"))
+    assert all(backend.accepted == 0 for backend in _of(world, "a"))
 
 
 def test_evacuation_of_all_data_centres_rejects_requests_at_once(world):
@@ -114,20 +117,24 @@
     """Requests soon after the evacuation fetch from them; later ones do not."""
     parts = "aa:500,bb:2500,own:9"
     assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
-    (holder,) = [one for one in world.engines if one.runs]
+    (holder,) = [backend for backend in world.engines if backend.runs]
     _evacuate(world, holder.data_centre)
     assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
-    taker = next(one for one in world.engines if one.runs and one != holder)
+    taker = next(
+        backend
+        for backend in world.engines
+        if backend.runs and backend != holder
+    )
     assert taker.runs[-1].headers["kv-fetch"] == holder.address
     monkeypatch.setattr(evacuations, "HAND_ON_S", 0.0)
     assert world.ask("/digest/1", Prefix_Hash="cc:2500,own:9").status == 200
     sources = [
         run.headers.get("kv-fetch")
-        for one in world.engines
-        for run in one.runs[-1:]
+        for backend in world.engines
+        for run in backend.runs[-1:]
         if run.headers["prefix-hash"] == "cc:2500,own:9"
     ]
-    evacuated = {one.address for one in _of(world, holder.data_centre)}
+    evacuated = {backend.address for backend in _of(world, holder.data_centre)}
     assert not evacuated & set(sources)
 
 
--- a/irisshelf/tests/test_regions.py
+++ b/irisshelf/tests/test_regions.py
@@ -14,18 +14,18 @@
 from irisshelf.platform.stand_in import world as world_module
 
 Fault = server.Fault
-_PLACES = ("a", "b", "c", "d")
+_DATA_CENTRES = ("a", "b", "c", "d")
 # The region of data centre d is not known.
 _REGIONS = {"a": "north", "b": "south", "c": "east"}
 
 
 def _world(make_world, *, route=(), team=()):
     world = make_world(
-        servers=4, places=_PLACES, regions=_REGIONS, configured=False
+        servers=4, places=_DATA_CENTRES, regions=_REGIONS, configured=False
     )
     document = world_module.config(1)
-    for one in document["routes"]:
-        one["allowedRegions"] = list(route)
+    for entry in document["routes"]:
+        entry["allowedRegions"] = list(route)
     document["tenants"][0]["allowedRegions"] = list(team)
     world.store.put("op", "config", document)
     world.wait(lambda: world.inst.ready)
@@ -35,11 +35,11 @@
 
 def _ran_in(world):
     servers = [*world.plain, *world.engines]
-    return {one.data_centre for one in servers if one.runs}
+    return {backend.data_centre for backend in servers if backend.runs}
 
 
 @pytest.mark.parametrize(
-    ("route", "team", "places"),
+    ("route", "team", "data_centres"),
     [
         ((), (), {"a", "b", "c", "d"}),
         (("north",), (), {"a"}),
@@ -49,15 +49,15 @@
 )
 @pytest.mark.parametrize("target", ["/digest/1", "/alarm/1", "/valve/1"])
 def test_requests_are_served_where_route_and_team_allow(
-    make_world, route, team, places, target
+    make_world, route, team, data_centres, target
 ):
     world = _world(make_world, route=route, team=team)
     for number in range(24):
         answer = world.ask(target, Prefix_Hash=f"s{number}:900,own:9")
         assert answer.status == 200
-    assert _ran_in(world) <= places
+    assert _ran_in(world) <= data_centres
     if target == "/digest/1":
-        assert _ran_in(world) == places
+        assert _ran_in(world) == data_centres
 
 
 @pytest.mark.parametrize(
@@ -73,8 +73,8 @@
 @pytest.mark.parametrize("target", ["/digest/1", "/valve/1"])
 def test_retry_stays_in_allowed_regions(make_world, target):
     world = _world(make_world, team=("north", "south"))
-    for one in [*world.plain, *world.engines]:
-        one.always = Fault.FAIL
+    for backend in [*world.plain, *world.engines]:
+        backend.always = Fault.FAIL
     for number in range(6):
         world.ask(target, Prefix_Hash=f"s{number}:900,own:9")
     assert _ran_in(world) <= {"a", "b"}
@@ -82,9 +82,9 @@
 
 def test_request_is_rejected_if_all_allowed_servers_are_lost(make_world):
     world = _world(make_world, route=("north",))
-    for one in [*world.plain, *world.engines]:
-        if one.data_centre == "a":
-            one.close()
+    for backend in [*world.plain, *world.engines]:
+        if backend.data_centre == "a":
+            backend.close()
     answer = world.ask("/alarm/1", Request_Id="r")
     assert (answer.status, world.runs("r")) == (503, 0)
 
@@ -93,13 +93,13 @@
     """Servers elsewhere have them cached from requests of other teams."""
     world = _world(make_world, team=("north",))
     parts = "aa:500,bb:2500,own:9"
-    for one in world.engines:
-        if one.data_centre != "a":
-            listed = world.inst.directory.get(one.server_id)
-            asked = world.inst.dialect.ask(_inbound(world, parts)).ok_value
-            world.inst.servers.sent_prompt(listed, asked.prompt)
+    for backend in world.engines:
+        if backend.data_centre != "a":
+            entry = world.inst.directory.get(backend.server_id)
+            request = world.inst.dialect.ask(_inbound(world, parts)).ok_value
+            world.inst.servers.sent_prompt(entry, request.prompt)
     assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
-    (run,) = [run for one in world.engines for run in one.runs]
+    (run,) = [run for backend in world.engines for run in backend.runs]
     assert "kv-fetch" not in run.headers
 
 
