--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -23,13 +23,13 @@
 from irisshelf import boottime
 from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
-from irisshelf.gateway.servers import crashes as crashes_module
+from irisshelf.gateway.servers import crash_tracker
 from irisshelf.observe import decision_log
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 
 _KIND = datagrams_module.Kind.CRASHES
 # Where an instance answers ``CrashGossip.all``.
-ALL_PATH = "/crashes"
+SNAPSHOT_PATH = "/crashes"
 _AGAIN_S = 0.4
 # Instances of each other data centre that are told.
 _ABROAD = 3
@@ -58,27 +58,27 @@
     Args:
         crashes: What this instance knows.
         datagrams: Carries messages.
-        roster: The other instances.
+        membership: The other instances.
         log: Takes what cannot be read.
     """
 
     def __init__(
         self,
         *,
-        crashes: crashes_module.Crashes,
+        crashes: crash_tracker.CrashTracker,
         datagrams: datagrams_module.Datagrams,
-        roster: membership_module.Membership,
+        membership: membership_module.Membership,
         log: decision_log.DecisionLog,
     ):
         self._log = log
         self._crashes = crashes
         self._datagrams = datagrams
-        self._roster = roster
-        crashes.on_end = self._tell_end
-        crashes.on_good = self._tell_good
-        datagrams.subscribe(_KIND, self.take)
+        self._membership = membership
+        crashes.on_crash = self._tell_end
+        crashes.on_clear = self._tell_good
+        datagrams.subscribe(_KIND, self.receive)
 
-    def take(self, content: Any) -> None:
+    def receive(self, content: Any) -> None:
         """Takes what a datagram holds.
 
         Raises:
@@ -106,7 +106,7 @@
                 return
             gevent.sleep(_CATCH_UP_PAUSE_S)
 
-    def all(self, fields: Mapping[str, str] | None = None) -> bytes:
+    def snapshot(self, fields: Mapping[str, str] | None = None) -> bytes:
         """Returns all that is known, for ``catch_up``.
 
         Args:
@@ -114,8 +114,8 @@
         """
         now = boottime.now()
         rows = [
-            (content, end.server, int((now - end.at_s) * 1000))
-            for content, ends in self._crashes.suspects.all(now).items()
+            (content, end.server_key, int((now - end.at_s) * 1000))
+            for content, ends in self._crashes.suspects.snapshot(now).items()
             for end in ends
         ]
         return cbor2.dumps(rows)
@@ -130,19 +130,23 @@
             self._log.problem("crashes_unreadable", detail=str(exc))
             return
         for content, server, age_ms in rows:
-            end = suspects.End(server=server, at_s=now - age_ms / 1000)
-            self._crashes.caught_up(content, end)
+            end = crash_suspects.ServerCrash(
+                server_key=server, at_s=now - age_ms / 1000
+            )
+            self._crashes.merge_crash(content, end)
 
     def _apply(self, message: _Message) -> None:
         if message.server is None:
-            self._crashes.heard_good(message.content)
+            self._crashes.receive_clear(message.content)
             return
         at_s = boottime.now() - message.age_ms / 1000
-        end = suspects.End(server=message.server, at_s=at_s)
-        self._crashes.heard_end(message.content, end)
+        end = crash_suspects.ServerCrash(server_key=message.server, at_s=at_s)
+        self._crashes.receive_crash(message.content, end)
 
-    def _tell_end(self, content: bytes, end: suspects.End) -> None:
-        self._tell(content, end.server, end.at_s)
+    def _tell_end(
+        self, content: bytes, end: crash_suspects.ServerCrash
+    ) -> None:
+        self._tell(content, end.server_key, end.at_s)
 
     def _tell_good(self, content: bytes) -> None:
         self._tell(content, None, boottime.now())
@@ -158,15 +162,15 @@
         message.relay = True
         data = _encode(message)
         told: dict[str, int] = {}
-        for member in self._roster.remote_members(boottime.now()):
+        for member in self._membership.remote_members(boottime.now()):
             count = told.get(member.data_centre, 0)
             if count < _ABROAD:
                 told[member.data_centre] = count + 1
                 self._datagrams.send(member.address, data)
 
     def _send_home(self, data: bytes) -> None:
-        own = self._roster.own.data_centre
-        for member, _ in self._roster.members(own, boottime.now()):
+        own = self._membership.own.data_centre
+        for member, _ in self._membership.members(own, boottime.now()):
             self._datagrams.send(member.address, data)
 
 
--- a/irisshelf/tests/test_catalog_catch_up.py
+++ b/irisshelf/tests/test_catalog_catch_up.py
@@ -200,7 +200,7 @@
     def role(self):
         return self._role
 
-    def tell(self, update):
+    def broadcast(self, update):
         pass
 
     def _send_update(self):
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -9,12 +9,12 @@
 from irisshelf.platform.stand_in import entry as entry_module
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing import suspects
+from irisshelf.routing import crash_suspects
 from irisshelf.routing.direct import policy
 
 Fault = server_module.Fault
 _BODY = b"the one"
-_CONTENT = suspects.content_of("blue", "POST", "/alarm/1", _BODY)
+_CONTENT = crash_suspects.request_fingerprint("blue", "POST", "/alarm/1", _BODY)
 
 
 @pytest.fixture
@@ -130,16 +130,16 @@
     )
     server = fleet.inst.directory.of("crew")[0]
     fleet.plain[0].close()
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
 
 
 def test_a_server_that_has_just_been_reached_may_end(fleet):
     """A reset, and the end of the same server right after it."""
     (one,) = fleet.plain[:1]
     server = fleet.inst.directory.get(one.server_id)
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
     one.close()
-    assert fleet.inst.crashes.has_ended(server)
+    assert fleet.inst.crashes.has_exited(server)
 
 
 def test_a_stream_under_way_is_not_blamed(fleet):
@@ -163,26 +163,28 @@
     for one in fleet.plain[:ended]:
         one.close()
     for one in fleet.plain[:5]:
-        end = suspects.End(
-            server=directory.key_of(one.server_id),
+        end = crash_suspects.ServerCrash(
+            server_key=directory.key_of(one.server_id),
             at_s=boottime.now(),
         )
-        fleet.inst.crashes.heard_end(_CONTENT, end)
-    stranger = suspects.End(server=b"stray", at_s=boottime.now())
-    fleet.inst.crashes.heard_end(_CONTENT, stranger)
+        fleet.inst.crashes.receive_crash(_CONTENT, end)
+    stranger = crash_suspects.ServerCrash(
+        server_key=b"stray", at_s=boottime.now()
+    )
+    fleet.inst.crashes.receive_crash(_CONTENT, stranger)
     now = boottime.now()
     verdict = fleet.inst.crashes.suspects.judge(_CONTENT, now)
-    assert len(verdict.ends) == ended
+    assert len(verdict.crashes) == ended
 
 
 def test_an_end_of_a_server_that_has_left_the_list_counts(fleet):
     gone = fleet.plain[0]
     fleet.store.drop("servers", gone.server_id)
     fleet.wait(lambda: len(fleet.inst.directory.of("crew")) == 7)
-    end = suspects.End(
-        server=directory.key_of(gone.server_id), at_s=boottime.now()
+    end = crash_suspects.ServerCrash(
+        server_key=directory.key_of(gone.server_id), at_s=boottime.now()
     )
-    fleet.inst.crashes.heard_end(_CONTENT, end)
+    fleet.inst.crashes.receive_crash(_CONTENT, end)
     assert _stages(fleet)[0] == "suspect"
 
 
@@ -193,10 +195,10 @@
         data_centre="a",
         store=fleet.store.address,
         bounds=settings.Bounds(),
-        switched=policy.ALL_ON,
+        switched=policy.DEFAULT,
     )
     fleet.wait(lambda: _stages(fleet) == ["barred"] * 4)
-    answers = [None, fleet.entries[1].crash_gossip.all()]
+    answers = [None, fleet.entries[1].crash_gossip.snapshot()]
     fresh.crash_gossip.catch_up(lambda: answers.pop(0))
     fleet.entries.append(fresh)
     assert _stages(fleet) == ["barred"] * 5
--- a/irisshelf/tests/test_regions.py
+++ b/irisshelf/tests/test_regions.py
@@ -96,8 +96,10 @@
     for backend in world.engines:
         if backend.data_centre != "a":
             entry = world.inst.directory.get(backend.server_id)
-            request = world.inst.dialect.ask(_inbound(world, parts)).ok_value
-            world.inst.servers.sent_prompt(entry, request.prompt)
+            request = world.inst.dialect.parse_request(
+                _inbound(world, parts)
+            ).ok_value
+            world.inst.servers.record_sent_prompt(entry, request.prompt)
     assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
     (run,) = [run for backend in world.engines for run in backend.runs]
     assert "kv-fetch" not in run.headers
--- a/irisshelf/tests/test_shared_watch.py
+++ b/irisshelf/tests/test_shared_watch.py
@@ -197,7 +197,7 @@
         long_poll_s = watch.long_poll_s(
             self.role(),
             self.sim.timing,
-            standalone_s=store_timing.hold_s(table, self.sim.bounds),
+            standalone_s=store_timing.long_poll_s(table, self.sim.bounds),
             now=self.clock_s,
         )
         watch.record_request()
@@ -259,7 +259,7 @@
             self._broadcast(table, at, store_s)
         pause_s = 0.0
         if new_rows:
-            pause_s = store_timing.gather_s(table, self.sim.bounds, self.role())
+            pause_s = store_timing.coalesce_s(table, self.sim.bounds, self.role())
         self.restart_polling(table, pause_s)
 
     def _apply_versions(self, new_rows, at, sent_s, store_s, whole):
--- a/irisshelf/tests/test_system_suspend.py
+++ b/irisshelf/tests/test_system_suspend.py
@@ -16,7 +16,7 @@
 from irisshelf.platform.stand_in import server as server_module
 from irisshelf.platform.stand_in import store
 from irisshelf.platform.stand_in import world as world_module
-from irisshelf.routing.direct import server_book
+from irisshelf.routing.direct import server_stats
 
 _STRICT = settings.Bounds(keys_strict=True, key_withdrawn_ms=5000.0)
 _LENIENT = settings.Bounds(keys_strict=False)
@@ -141,7 +141,7 @@
     world = make_world(bounds=_LENIENT)
     name = world.plain[0].server_id
     listed = world.follower.tables.servers
-    listed.store_lost()
+    listed.on_store_lost()
     world.store.drop("servers", name)
     world.wait(lambda: world.inst.directory._lapsed)
     suspend(suspended_s)
@@ -155,10 +155,10 @@
 ):
     world = make_world(bounds=_LENIENT)
     budget = world.inst.servers.budget("crew")
-    while budget.take(world.inst.now()):
+    while budget.try_take(world.inst.now()):
         pass
     suspend(suspended_s)
-    assert int(budget.left(world.inst.now())) == left
+    assert int(budget.remaining(world.inst.now())) == left
 
 
 @pytest.mark.parametrize(("suspended_s", "fit"), [(0.3, False), (6, True)])
@@ -166,12 +166,12 @@
     make_world, suspend, suspended_s, fit
 ):
     world = make_world(bounds=_LENIENT)
-    book = world.inst.servers.chooser("crew").book
+    book = world.inst.servers.chooser("crew").stats
     name = world.plain[0].server_id
     for _ in range(3):
-        book.seen(name, server_book.Seen.BROKEN, world.inst.now())
+        book.record_outcome(name, server_stats.Outcome.BROKEN, world.inst.now())
     suspend(suspended_s)
-    assert book.fit(name, world.inst.now()) is fit
+    assert book.is_available(name, world.inst.now()) is fit
 
 
 @pytest.mark.parametrize(("suspended_s", "known"), [(3, 1), (60, 0)])
