--- a/irisshelf/tests/test_shared_watch.py
+++ b/irisshelf/tests/test_shared_watch.py
@@ -259,7 +259,9 @@
             self._broadcast(table, at, store_s)
         pause_s = 0.0
         if new_rows:
-            pause_s = store_timing.coalesce_s(table, self.sim.bounds, self.role())
+            pause_s = store_timing.coalesce_s(
+                table, self.sim.bounds, self.role()
+            )
         self.restart_polling(table, pause_s)
 
     def _apply_versions(self, new_rows, at, sent_s, store_s, whole):
