--- a/irisshelf/coordination/facts.py
+++ b/irisshelf/coordination/facts.py
@@ -32,7 +32,7 @@
 
     Attributes:
         server: Key of the server.
-        part: Key of the part, see ``cache_locations.key_of``.
+        part: Key of the part, see ``cache_locations.part_key``.
     """
 
     server: bytes
--- a/irisshelf/tests/test_system_suspend.py
+++ b/irisshelf/tests/test_system_suspend.py
@@ -140,12 +140,12 @@
 ):
     world = make_world(bounds=_LENIENT)
     name = world.plain[0].server_id
-    listed = world.follower.tables.servers
-    listed.on_store_lost()
+    server_table = world.follower.tables.servers
+    server_table.on_store_lost()
     world.store.drop("servers", name)
     world.wait(lambda: world.inst.directory._lapsed)
     suspend(suspended_s)
-    world.follower.tables.servers.expire(world.inst.now())
+    server_table.expire(world.inst.now())
     assert (world.inst.directory.get(name) is None) is gone
 
 
@@ -161,17 +161,21 @@
     assert int(budget.remaining(world.inst.now())) == left
 
 
-@pytest.mark.parametrize(("suspended_s", "fit"), [(0.3, False), (6, True)])
+@pytest.mark.parametrize(
+    ("suspended_s", "available"), [(0.3, False), (6, True)]
+)
 def test_server_backoff_elapses_during_suspend(
-    make_world, suspend, suspended_s, fit
+    make_world, suspend, suspended_s, available
 ):
     world = make_world(bounds=_LENIENT)
-    book = world.inst.servers.chooser("crew").stats
+    stats = world.inst.servers.chooser("crew").stats
     name = world.plain[0].server_id
     for _ in range(3):
-        book.record_outcome(name, server_stats.Outcome.BROKEN, world.inst.now())
+        stats.record_outcome(
+            name, server_stats.Outcome.BROKEN, world.inst.now()
+        )
     suspend(suspended_s)
-    assert book.is_available(name, world.inst.now()) is fit
+    assert stats.is_available(name, world.inst.now()) is available
 
 
 @pytest.mark.parametrize(("suspended_s", "known"), [(3, 1), (60, 0)])
@@ -179,6 +183,6 @@
     make_world, suspend, suspended_s, known
 ):
     world = make_world(bounds=_LENIENT, data_centres=("a", "a"))
-    own = world.entries[0].roster
+    membership = world.entries[0].roster
     suspend(suspended_s)
-    assert len(own.members("a", world.inst.now())) == known
+    assert len(membership.members("a", world.inst.now())) == known
