--- a/irisshelf/coordination/claim.py
+++ b/irisshelf/coordination/claim.py
@@ -203,8 +203,8 @@
         # The insert has not taken effect, or not yet. It is retried with the
         # same claim id, so that the row of a late insert is still recognised
         # as this instance's own.
-        fresh = dataclasses.replace(claim, if_version=messages.ABSENT)
-        return _retry(fresh, "the insert was lost")
+        reset = dataclasses.replace(claim, if_version=messages.ABSENT)
+        return _retry(reset, "the insert was lost")
     return Refused(claim=claim, detail=answer.err_value.detail)
 
 
--- a/irisshelf/coordination/gossip.py
+++ b/irisshelf/coordination/gossip.py
@@ -219,11 +219,11 @@
 
         This instance is included unless it is leaving.
         """
-        found = [self.name] if not self._own.leaving else []
+        names = [self.name] if not self._own.leaving else []
         for name in self._local_names():
             if self.status(name, now) in messages.LIVE_STATUSES:
-                found.append(name)
-        return sorted(found)
+                names.append(name)
+        return sorted(names)
 
     def load_of_others(self, service: str, now: float) -> messages.Load:
         """Returns the total load that all other instances report for a service.
@@ -289,7 +289,7 @@
     def _message(
         self, now: float, *, local: bool, wants_reply: bool
     ) -> messages.Message:
-        fresh = sorted(
+        recent = sorted(
             self._records.values(),
             key=lambda stored: stored.received_s,
             reverse=True,
@@ -297,7 +297,7 @@
         records = [self._own]
         records += [
             stored.record
-            for stored in fresh[: MAX_RECORDS - 1]
+            for stored in recent[: MAX_RECORDS - 1]
             if now - stored.received_s <= DEAD_AFTER_S
         ]
         if not local:
@@ -329,15 +329,15 @@
 
     def _silent_peers(self, now: float) -> list[str]:
         """Returns local peers without recent heartbeats, the oldest first."""
-        found = []
+        silent = []
         for name in self._local_names():
             silent_s = self._heartbeats.age_s(name, now)
             if silent_s is None or name not in self._peers:
                 continue
             if PROBE_AFTER_S < silent_s <= DEAD_AFTER_S:
-                found.append((silent_s, name))
-        found.sort(reverse=True)
-        return [name for _, name in found[:MAX_PROBES]]
+                silent.append((silent_s, name))
+        silent.sort(reverse=True)
+        return [name for _, name in silent[:MAX_PROBES]]
 
     def _summaries_for(
         self, now: float, *, local: bool
--- a/irisshelf/tests/test_system_suspend.py
+++ b/irisshelf/tests/test_system_suspend.py
@@ -145,7 +145,7 @@
     world.store.drop("servers", name)
     world.wait(lambda: world.inst.directory._lapsed)
     suspend(suspended_s)
-    server_table.expire(world.inst.now())
+    world.follower.tables.servers.expire(world.inst.now())
     assert (world.inst.directory.get(name) is None) is gone
 
 
