--- a/irisshelf/coordination/head.py
+++ b/irisshelf/coordination/head.py
@@ -186,9 +186,9 @@
 
     Example:
         >>> follower = Follower()
-        >>> follower.see(Head(number=2, object_key="x"))
+        >>> follower.observe(Head(number=2, object_key="x"))
         True
-        >>> follower.adopt(2), follower.see(Head(number=1, object_key="y"))
+        >>> follower.adopt(2), follower.observe(Head(number=1, object_key="y"))
         (True, False)
     """
 
