--- a/irisshelf/coordination/__init__.py
+++ b/irisshelf/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Parts that agree through the platform; free of input and output."""
+"""Coordination protocols between instances, without input or output."""
--- a/irisshelf/tests/test_regions.py
+++ b/irisshelf/tests/test_regions.py
@@ -1,8 +1,8 @@
-"""Routes and teams whose requests may be served in some regions only.
+"""Routes and teams whose requests may be served in certain regions only.
 
-The pattern: three regions, of which a team's contract or a law names some. A
-request reaches servers there and nowhere else, whatever becomes of them, and
-its prompt is fetched from there alone.
+Among three regions, a contract or a law permits a team only some. Requests must
+reach servers in these regions only, whatever happens to the servers, and cached
+prompts must be fetched from these regions only.
 """
 
 import pytest
@@ -14,18 +14,18 @@
 from irisshelf.platform.stand_in import world as world_module
 
 Fault = server.Fault
-_PLACES = ("a", "b", "c", "d")
-# Data centre d is in no region that is known.
+_DATA_CENTRES = ("a", "b", "c", "d")
+# The region of data centre d is not known.
 _REGIONS = {"a": "north", "b": "south", "c": "east"}
 
 
 def _world(make_world, *, route=(), team=()):
     world = make_world(
-        servers=4, places=_PLACES, regions=_REGIONS, configured=False
+        servers=4, places=_DATA_CENTRES, regions=_REGIONS, configured=False
     )
     document = world_module.config(1)
-    for one in document["routes"]:
-        one["allowedRegions"] = list(route)
+    for entry in document["routes"]:
+        entry["allowedRegions"] = list(route)
     document["tenants"][0]["allowedRegions"] = list(team)
     world.store.put("op", "config", document)
     world.wait(lambda: world.inst.ready)
@@ -34,12 +34,12 @@
 
 
 def _ran_in(world):
-    everyone = [*world.plain, *world.engines]
-    return {one.data_centre for one in everyone if one.runs}
+    servers = [*world.plain, *world.engines]
+    return {backend.data_centre for backend in servers if backend.runs}
 
 
 @pytest.mark.parametrize(
-    ("route", "team", "places"),
+    ("route", "team", "data_centres"),
     [
         ((), (), {"a", "b", "c", "d"}),
         (("north",), (), {"a"}),
@@ -48,22 +48,22 @@
     ],
 )
 @pytest.mark.parametrize("target", ["/digest/1", "/alarm/1", "/valve/1"])
-def test_requests_are_served_where_both_allow_it(
-    make_world, route, team, places, target
+def test_requests_are_served_where_route_and_team_allow(
+    make_world, route, team, data_centres, target
 ):
     world = _world(make_world, route=route, team=team)
     for number in range(24):
         answer = world.ask(target, Prefix_Hash=f"s{number}:900,own:9")
         assert answer.status == 200
-    assert _ran_in(world) <= places
+    assert _ran_in(world) <= data_centres
     if target == "/digest/1":
-        assert _ran_in(world) == places
+        assert _ran_in(world) == data_centres
 
 
 @pytest.mark.parametrize(
     ("route", "team"), [(("north",), ("south",)), (("west",), ())]
 )
-def test_where_nothing_is_allowed_it_is_a_true_refusal(make_world, route, team):
+def test_request_without_an_allowed_region_is_rejected(make_world, route, team):
     world = _world(make_world, route=route, team=team)
     answer = world.ask("/alarm/1", Request_Id="r")
     assert (answer.status, world.runs("r")) == (503, 0)
@@ -71,37 +71,37 @@
 
 
 @pytest.mark.parametrize("target", ["/digest/1", "/valve/1"])
-def test_a_second_send_stays_there(make_world, target):
+def test_retry_stays_in_allowed_regions(make_world, target):
     world = _world(make_world, team=("north", "south"))
-    for one in [*world.plain, *world.engines]:
-        one.always = Fault.FAIL
+    for backend in [*world.plain, *world.engines]:
+        backend.always = Fault.FAIL
     for number in range(6):
         world.ask(target, Prefix_Hash=f"s{number}:900,own:9")
     assert _ran_in(world) <= {"a", "b"}
 
 
-def test_all_servers_there_lost_is_a_true_refusal(make_world):
+def test_request_is_rejected_if_all_allowed_servers_are_lost(make_world):
     world = _world(make_world, route=("north",))
-    for one in [*world.plain, *world.engines]:
-        if one.data_centre == "a":
-            one.close()
+    for backend in [*world.plain, *world.engines]:
+        if backend.data_centre == "a":
+            backend.close()
     answer = world.ask("/alarm/1", Request_Id="r")
     assert (answer.status, world.runs("r")) == (503, 0)
 
 
-def test_parts_are_fetched_from_there_alone(make_world):
-    """Whoever else has read them serves teams that may be served anywhere."""
+def test_prompt_parts_are_fetched_from_allowed_regions_only(make_world):
+    """Servers elsewhere have them cached from requests of other teams."""
     world = _world(make_world, team=("north",))
     parts = "aa:500,bb:2500,own:9"
-    for one in world.engines:
-        if one.data_centre != "a":
-            listed = world.inst.directory.get(one.server_id)
-            asked = world.inst.dialect.parse_request(
+    for backend in world.engines:
+        if backend.data_centre != "a":
+            entry = world.inst.directory.get(backend.server_id)
+            request = world.inst.dialect.parse_request(
                 _inbound(world, parts)
             ).ok_value
-            world.inst.servers.record_sent_prompt(listed, asked.prompt)
+            world.inst.servers.record_sent_prompt(entry, request.prompt)
     assert world.ask("/digest/1", Prefix_Hash=parts).status == 200
-    (run,) = [run for one in world.engines for run in one.runs]
+    (run,) = [run for backend in world.engines for run in backend.runs]
     assert "kv-fetch" not in run.headers
 
 
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("regions", [3, "north", [3], {"north": 1}])
-def test_a_configuration_with_other_regions_is_refused(regions):
+def test_configuration_with_malformed_regions_is_rejected(regions):
     document = world_module.config(2)
     document["routes"][0]["allowedRegions"] = regions
     with pytest.raises(ValueError, match="allowedRegions"):
@@ -128,6 +128,6 @@
         ([["a"], ["b"]], set()),
     ],
 )
-def test_regions_in_common(allowed, common):
-    found = model.common_regions(*map(frozenset, allowed))
-    assert found == common
+def test_common_regions(allowed, common):
+    actual = model.common_regions(*map(frozenset, allowed))
+    assert actual == common
