--- a/irisshelf/routing/__init__.py
+++ b/irisshelf/routing/__init__.py
@@ -1,12 +1,13 @@
-"""Decisions about where a request runs; free of input and output.
+"""Routing decisions, without any I/O.
 
-Two ways to decide, one for each daemon:
+There are two routing strategies, one for each daemon:
 
-- ``routing.direct``: every instance chooses a backend server for each request
-  by itself, by what servers and requests show (``irisshelf.gateway``, the
-  daemon on a shared platform).
-- ``routing.owned``: each engine has an owner among the instances, which alone
-  places requests on it (``irisshelf.daemon``, ``irisshelfd``).
+- ``routing.direct``: every instance independently chooses a backend server for
+  each request, from observed requests and server reports
+  (``irisshelf.gateway``, the daemon on a shared platform).
+- ``routing.owned``: each engine is owned by one instance, and only that
+  instance places requests on it (``irisshelf.daemon``, ``irisshelfd``).
 
-What both use stands here: outcomes, the retry budget, popularity of keys.
+The modules of this package itself serve both: request outcomes, the retry
+budget, key popularity and crash suspects.
 """
--- a/irisshelf/routing/crash_suspects.py
+++ b/irisshelf/routing/crash_suspects.py
@@ -1,23 +1,24 @@
-"""Which requests end the servers that begin to run them.
-
-A caller repeats such a request, each time with an id of its own, at any
-instance; each repeat would end one server more, and break off whatever else
-that server works on. So what servers ended under is remembered by the *content*
-of requests, and told among instances.
-
-A server that ends has many requests, and at most one of them did it. Blamed is
-only what nothing had come back of, as of the culprit, and of few others. And a
-good answer speaks for a content, so that one which many repeat is not blamed
-for servers that end of themselves.
-
-Stages of a content:
-
-- *clear*: no server ended under it since its last good answer.
-- *suspect*: one or two did. All instances send it to one and the same server,
-  see ``place``, so that copies on the way at the same moment end one
-  server together.
-- *barred*: three did. It is refused until ``BARRED_S`` have passed; then it is
-  suspect again, and the next end bars it at once.
+"""Detects requests that crash the servers that process them.
+
+Callers repeat such a request at any instance, each time with a new request id.
+Each repeat would crash another server and abort all other requests in progress
+there. Crashes are therefore recorded by the *fingerprint* of the request and
+exchanged among instances.
+
+A server that crashes usually has many requests in progress, of which at most
+one is the cause. Only requests for which no part of a response had arrived are
+suspected, since this holds for the cause and for few others. A successful
+response clears a fingerprint, so that a request that many callers repeat is not
+blamed for servers that exit for other reasons.
+
+Stages of a fingerprint:
+
+- *clear*: no server has crashed since the last successful response.
+- *suspect*: one or two servers have crashed. All instances send the request to
+  the same server, see ``designate_server``, so that concurrent copies crash
+  only one server.
+- *barred*: three servers have crashed. The request is refused for ``BARRED_S``,
+  after which it is suspect again. The next crash bars it at once.
 """
 
 from __future__ import annotations
@@ -29,26 +30,28 @@
 from collections.abc import Collection
 from collections.abc import Sequence
 
-# The users allow three servers to end under a request. Fewer would bar requests
-# that were under way when a rack went down, once with each of two tries.
+# The requirements allow three servers to crash because of one request. A lower
+# limit would bar requests that were in progress during a rack failure, once
+# with each of two attempts.
 CRASHES_TO_BAR = 3
-# Costs the caller of a content that was blamed wrongly so long; costs one
-# server each time if it was right, which is away for seconds: under 1 in 100
-# of one server's time.
+# A wrongly suspected request is refused for this time. If the suspicion was
+# right, each expiry costs one more crash, which takes a server away for some
+# seconds: less than 1 % of the time of one server.
 BARRED_S = 600.0
-# A content under which nothing has ended for so long is clear.
-_FORGOTTEN_S = 2 * BARRED_S
-# What several instances say of one server within this time is one end: no
-# server is back within a second (the users: "after some seconds").
-_SAME_END_S = 1.0
-# Entries of 300 bytes or so. A flood of contents that end one server each
-# cannot be longer than servers come back.
+# A fingerprint without a crash for this time is clear.
+_FORGET_AFTER_S = 2 * BARRED_S
+# Reports of a crash of the same server within this time, from different
+# instances, are one crash. No server restarts within a second (it takes "some
+# seconds" according to the requirements).
+_SAME_CRASH_S = 1.0
+# An entry takes about 300 bytes. The rate at which new fingerprints can crash
+# servers is limited by the rate at which servers restart.
 _MAX_ENTRIES = 2000
-_HALF_BYTES = 8
+_DIGEST_BYTES = 8
 
 
 class Stage(enum.StrEnum):
-    """What is thought of a content."""
+    """Stage of a request fingerprint."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -57,11 +60,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServerCrash:
-    """One end of a server.
+    """One crash of a server.
 
     Attributes:
-        server: The short key of the server's life.
-        at_s: When, in the reader's seconds.
+        server_key: Short key of the server incarnation that crashed.
+        at_s: When it crashed, on the clock of this instance.
     """
 
     server_key: bytes
@@ -70,12 +73,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """What is thought of a content now.
+    """The current assessment of a fingerprint.
 
     Attributes:
         stage: The stage.
-        ends: Servers that ended under it.
-        barred_for_s: How long it is barred yet; 0 if it is not.
+        crashes: Recorded crashes, oldest first.
+        barred_for_s: Remaining time for which it is barred; 0 if it is not.
     """
 
     stage: Stage
@@ -87,132 +90,144 @@
 
 
 def fingerprint_prefix(team: str, method: str, target: str, size: int) -> bytes:
-    """Returns the first half of a content, for which no body is read.
+    """Returns the first half of a fingerprint, which needs no hash of the body.
 
     Args:
         team: The caller's team; empty on public routes.
-        method: Such as ``POST``.
+        method: HTTP method, such as ``POST``.
         target: Path and query.
-        size: Of the body, in bytes.
+        size: Size of the body in bytes.
     """
     text = f"{team}\0{method}\0{target}\0{size}".encode()
-    return hashlib.blake2b(text, digest_size=_HALF_BYTES).digest()
+    return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).digest()
 
 
 def request_fingerprint(
     team: str, method: str, target: str, body: bytes
 ) -> bytes:
-    """Returns what repeats of one request have in common, as two digests.
+    """Returns a fingerprint that is the same for all repeats of a request.
 
-    Ids, deadlines and where a stream goes on differ between repeats; the host
-    and the service may, after a change of the configuration.
+    It consists of two digests. Request ids, deadlines and the resume position
+    of a stream are left out because they differ between repeats; host and
+    service may differ after a configuration change.
 
     Args:
         team: The caller's team; empty on public routes.
-        method: Such as ``POST``.
+        method: HTTP method, such as ``POST``.
         target: Path and query.
-        body: The whole body.
+        body: The complete body.
 
     Example:
         >>> request_fingerprint("a", "GET", "/x", b"").hex()
         'a73b3951233db5c5e4a6a0577479b2b4'
     """
-    shape = fingerprint_prefix(team, method, target, len(body))
-    return shape + hashlib.blake2b(body, digest_size=_HALF_BYTES).digest()
+    prefix = fingerprint_prefix(team, method, target, len(body))
+    return prefix + hashlib.blake2b(body, digest_size=_DIGEST_BYTES).digest()
 
 
 class CrashSuspects:
-    """What instances know of the contents that servers ended under."""
+    """Crashes recorded by request fingerprint.
+
+    Args:
+        max_entries: Number of fingerprints kept.
+    """
 
     def __init__(self, *, max_entries: int = _MAX_ENTRIES):
         self._max_entries = max_entries
-        # Oldest change first.
-        self._ends: dict[bytes, tuple[ServerCrash, ...]] = {}
-        self._shapes: collections.Counter[bytes] = collections.Counter()
+        # Ordered by last change, oldest first.
+        self._crashes: dict[bytes, tuple[ServerCrash, ...]] = {}
+        self._prefix_counts: collections.Counter[bytes] = collections.Counter()
 
     def __bool__(self) -> bool:
-        """Whether any content is not clear, so that contents matter."""
-        return bool(self._ends)
+        """Whether any fingerprint is not clear.
+
+        If not, callers need not compute fingerprints.
+        """
+        return bool(self._crashes)
 
     def __len__(self) -> int:
-        return len(self._ends)
+        return len(self._crashes)
 
     def record_crash(
-        self, content: bytes, end: ServerCrash, now: float
+        self, fingerprint: bytes, crash: ServerCrash, now: float
     ) -> bool:
-        """Takes that a server ended under a content.
+        """Records a crash of a server that processed a request.
 
         Returns:
-            Whether that was not known.
+            Whether the crash is new.
         """
-        known = self._lasting(content, now)
-        old = now - end.at_s >= _FORGOTTEN_S
-        if old or any(_same(end, other) for other in known):
+        known = self._unexpired(fingerprint, now)
+        old = now - crash.at_s >= _FORGET_AFTER_S
+        if old or any(_is_same_crash(crash, other) for other in known):
             return False
-        self._drop(content)
-        latest = sorted((*known, end), key=lambda e: e.at_s)
-        self._ends[content] = tuple(latest[-CRASHES_TO_BAR:])
-        self._shapes[content[:_HALF_BYTES]] += 1
-        self._make_room()
+        self._drop(fingerprint)
+        latest = sorted((*known, crash), key=lambda e: e.at_s)
+        self._crashes[fingerprint] = tuple(latest[-CRASHES_TO_BAR:])
+        self._prefix_counts[fingerprint[:_DIGEST_BYTES]] += 1
+        self._evict()
         return True
 
-    def record_success(self, content: bytes) -> bool:
-        """Takes a good answer; returns whether it cleared the content."""
-        return self._drop(content)
+    def record_success(self, fingerprint: bytes) -> bool:
+        """Records a successful response; returns whether an entry existed."""
+        return self._drop(fingerprint)
 
-    def has_prefix(self, shape: bytes) -> bool:
-        """Tells whether a content of a shape may not be clear."""
-        return shape in self._shapes
+    def has_prefix(self, prefix: bytes) -> bool:
+        """Tells whether any recorded fingerprint starts with a prefix."""
+        return prefix in self._prefix_counts
 
-    def judge(self, content: bytes, now: float) -> Verdict:
-        """Returns what is thought of a content."""
-        if content not in self._ends:
+    def judge(self, fingerprint: bytes, now: float) -> Verdict:
+        """Returns the current assessment of a fingerprint."""
+        if fingerprint not in self._crashes:
             return _CLEAR
-        ends = self._lasting(content, now)
-        if not ends:
-            self._drop(content)
+        crashes = self._unexpired(fingerprint, now)
+        if not crashes:
+            self._drop(fingerprint)
             return _CLEAR
-        left_s = ends[-1].at_s + BARRED_S - now
-        if len(ends) < CRASHES_TO_BAR or left_s <= 0:
-            return Verdict(stage=Stage.SUSPECT, crashes=ends)
-        return Verdict(stage=Stage.BARRED, crashes=ends, barred_for_s=left_s)
+        remaining_s = crashes[-1].at_s + BARRED_S - now
+        if len(crashes) < CRASHES_TO_BAR or remaining_s <= 0:
+            return Verdict(stage=Stage.SUSPECT, crashes=crashes)
+        return Verdict(
+            stage=Stage.BARRED, crashes=crashes, barred_for_s=remaining_s
+        )
 
     def snapshot(self, now: float) -> dict[bytes, tuple[ServerCrash, ...]]:
-        """Returns all that is known, for an instance that knows nothing."""
-        for content in list(self._ends):
-            self.judge(content, now)
-        return dict(self._ends)
-
-    def _lasting(self, content: bytes, now: float) -> tuple[ServerCrash, ...]:
-        ends = self._ends.get(content, ())
-        if ends and now - ends[-1].at_s < _FORGOTTEN_S:
-            return ends
+        """Returns all recorded crashes, for an instance that has just begun."""
+        for fingerprint in list(self._crashes):
+            self.judge(fingerprint, now)
+        return dict(self._crashes)
+
+    def _unexpired(
+        self, fingerprint: bytes, now: float
+    ) -> tuple[ServerCrash, ...]:
+        crashes = self._crashes.get(fingerprint, ())
+        if crashes and now - crashes[-1].at_s < _FORGET_AFTER_S:
+            return crashes
         return ()
 
-    def _make_room(self) -> None:
-        """Drops the least suspect, of these the one unchanged for longest."""
-        while len(self._ends) > self._max_entries:
-            self._drop(min(self._ends, key=lambda c: len(self._ends[c])))
+    def _evict(self) -> None:
+        """Evicts entries with the fewest crashes, the oldest of these first."""
+        while len(self._crashes) > self._max_entries:
+            self._drop(min(self._crashes, key=lambda c: len(self._crashes[c])))
 
-    def _drop(self, content: bytes) -> bool:
-        """Forgets a content; returns whether it was known."""
-        if self._ends.pop(content, None) is None:
+    def _drop(self, fingerprint: bytes) -> bool:
+        """Removes a fingerprint; returns whether it was recorded."""
+        if self._crashes.pop(fingerprint, None) is None:
             return False
-        shape = content[:_HALF_BYTES]
-        self._shapes[shape] -= 1
-        if not self._shapes[shape]:
-            del self._shapes[shape]
+        prefix = fingerprint[:_DIGEST_BYTES]
+        self._prefix_counts[prefix] -= 1
+        if not self._prefix_counts[prefix]:
+            del self._prefix_counts[prefix]
         return True
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DesignatedServer:
-    """Where a suspect content may go.
+    """The server that a suspect request may be sent to.
 
     Attributes:
-        server: The one server; None if there is none.
-        uncertain: Whether so many servers may have ended under the content
-            that another one must not be risked.
+        server: The server; None if there is none.
+        uncertain: Whether the request may already have crashed so many servers
+            that no other one must be put at risk.
     """
 
     server: str | None = None
@@ -220,44 +235,53 @@
 
 
 def designate_server(
-    content: bytes,
+    fingerprint: bytes,
     servers: Sequence[str],
     *,
     crashed: Collection[str] = (),
     recently_gone: Collection[str] = (),
     crash_count: int = 0,
 ) -> DesignatedServer:
-    """Returns the one server that a suspect content may go to.
+    """Returns the only server that a suspect request may be sent to.
 
-    All instances choose alike from the same list, without messages. Where the
-    one that they choose has just gone, a copy of the request at another
-    instance may have ended it, and the message about that be on its way: it
-    counts as one more end until it is too old for that.
+    All instances choose the same server from the same list, without
+    coordination. If that server has just exited, a copy of the request sent by
+    another instance may have crashed it and the message about the crash may
+    still be in transit. Until such a message can no longer arrive, the exit is
+    counted as one more crash.
 
     Args:
-        content: The content.
-        servers: Those that may take it, the ones that have gone included.
-        crashed: Those that ended under it; they may be back, but another's end
-            says more.
-        recently_gone: Those whose process ended a short while ago.
-        crash_count: How many servers are known to have ended under it.
+        fingerprint: The request fingerprint.
+        servers: Candidates, including those that have recently exited.
+        crashed: Servers that crashed while they processed the request. They may
+            have restarted, but a crash of a different server is stronger
+            evidence, so that they are used only if there is no other candidate.
+        recently_gone: Servers whose process has exited a short time ago.
+        crash_count: Number of recorded crashes.
     """
-    pool = [name for name in servers if name not in crashed]
-    fit = [name for name in pool or servers if name not in recently_gone]
-    best = max(fit, key=lambda name: _rank(content, name), default=None)
-    least = b"" if best is None else _rank(content, best)
+    candidates = [name for name in servers if name not in crashed]
+    eligible = [
+        name for name in candidates or servers if name not in recently_gone
+    ]
+    best = max(
+        eligible, key=lambda name: _rank(fingerprint, name), default=None
+    )
+    best_rank = b"" if best is None else _rank(fingerprint, best)
     presumed = sum(
-        name in recently_gone and _rank(content, name) > least for name in pool
+        name in recently_gone and _rank(fingerprint, name) > best_rank
+        for name in candidates
     )
     if presumed and crash_count + presumed >= CRASHES_TO_BAR:
         return DesignatedServer(uncertain=True)
     return DesignatedServer(server=best)
 
 
-def _rank(content: bytes, name: str) -> bytes:
-    return hashlib.blake2b(name.encode(), key=content, digest_size=8).digest()
+def _rank(fingerprint: bytes, name: str) -> bytes:
+    return hashlib.blake2b(
+        name.encode(), key=fingerprint, digest_size=8
+    ).digest()
 
 
-def _same(one: ServerCrash, other: ServerCrash) -> bool:
-    near = abs(one.at_s - other.at_s) < _SAME_END_S
+def _is_same_crash(one: ServerCrash, other: ServerCrash) -> bool:
+    near = abs(one.at_s - other.at_s) < _SAME_CRASH_S
     return one.server_key == other.server_key and near
--- a/irisshelf/routing/outcome.py
+++ b/irisshelf/routing/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller is told of a request that did not end well."""
+"""Outcome and cause reported to the caller of a failed request."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Outcome(enum.StrEnum):
-    """Whether the request ran.
+    """Whether the request was executed.
 
-    ``NOT_RUN`` is said only if no byte of the request went to a backend
-    server, or on what that server says of the attempt.
+    ``NOT_RUN`` is reported only if no byte of the request was sent to a backend
+    server, or if that server stated that it did not run the attempt.
     """
 
     NOT_RUN = "not_run"
@@ -38,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """The final answer to a request that will not be served.
+    """The final response to a request that will not be served.
 
     Attributes:
-        outcome: Whether it ran.
-        cause: Why.
-        retry_after_s: When to come back; None if that would not help.
-        detail: For people.
+        outcome: Whether the request was executed.
+        cause: Why it was refused or failed.
+        retry_after_s: Delay before a retry; None if a retry would not help.
+        detail: Human-readable explanation.
     """
 
     outcome: Outcome
--- a/irisshelf/routing/owned/__init__.py
+++ b/irisshelf/routing/owned/__init__.py
@@ -1,7 +1,8 @@
-"""Each engine has an owner, which alone places requests on it.
+"""Routing in which each engine is owned by a single instance.
 
-``service`` joins the parts: ``admission`` (a queue by priority and team),
-``ownership`` and ``ranking`` (who owns what), ``placement`` (which engine, by
-``load``, ``health``, ``context`` and ``cache_view``), ``retry`` and ``stream``
-(the life of a request and of its answer).
+Only the owner places requests on an engine. ``service`` combines the parts:
+``admission`` (queueing by priority and team), ``ownership`` and ``ranking``
+(which instance owns which engine), ``placement`` (choice of the engine from
+``load``, ``health``, ``context`` and ``cache_view``), ``retry`` (attempts of a
+request) and ``stream`` (validation of the response).
 """
--- a/irisshelf/routing/owned/admission.py
+++ b/irisshelf/routing/owned/admission.py
@@ -1,11 +1,12 @@
-"""Admission by priority and team share, with early refusal.
-
-An instance runs at most ``limit`` requests of a service at a time. A part of
-it, ``RESERVE``, is only for teams below their guaranteed share, so a small
-team gets in at once while a large one surges. What cannot start waits in its
-team's queue. The next start goes to the highest priority, then to the team
-with the fewest running requests for its share. A request that cannot start
-before its deadline at the current pace is refused at once, not later.
+"""Admission control by priority and team share, with early rejection.
+
+An instance runs at most ``limit`` requests of a service concurrently. The
+fraction ``RESERVED_SHARE`` of them is reserved for teams below their guaranteed
+share, so that a small team is admitted immediately during a surge of a large
+one. Other requests wait in a queue per priority and team. The next request to
+start is one of the highest priority, from the team with the fewest running
+requests relative to its share. A request that is not expected to start before
+its deadline is rejected on arrival.
 """
 
 from __future__ import annotations
@@ -18,7 +19,8 @@
 
 RESERVED_SHARE = 0.1
 MAX_WAITING = 4096
-_PACE_WEIGHT = 0.1
+# Weight of the latest request in the moving average of the service time.
+_SERVICE_TIME_WEIGHT = 0.1
 _RANKS = {
     schema.Priority.URGENT: 0,
     schema.Priority.NORMAL: 1,
@@ -28,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """A request that wants to start."""
+    """A request that asks for admission."""
 
     request_id: str
     team: str
@@ -38,32 +40,32 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Admitted:
-    """The request may start now."""
+    """The request may start immediately."""
 
     ticket: Ticket
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Queued:
-    """The request waits; its ``Admitted`` or ``Rejection`` follows."""
+    """The request is queued; an ``Admitted`` or ``Rejection`` follows."""
 
     ticket: Ticket
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rejection:
-    """The request is refused; come back after ``retry_after_s``."""
+    """The request is rejected and may be retried after ``retry_after_s``."""
 
     ticket: Ticket
     retry_after_s: float
 
 
 class Admission:
-    """Admission of one service on one instance.
+    """Admission control of one service on one instance.
 
     Args:
-        limit: Requests that may run at a time.
-        shares: Share by team; a team not listed counts 1.
+        limit: Maximum number of concurrently running requests.
+        shares: Share by team; 1 for a team that is not listed.
     """
 
     def __init__(self, *, limit: int, shares: dict[str, float]):
@@ -78,16 +80,16 @@
 
     @property
     def running(self) -> int:
-        """Requests that run."""
+        """Number of running requests."""
         return self._total
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return self._waiting
 
     def configure(self, *, limit: int, shares: dict[str, float]) -> None:
-        """Takes new limits; what runs or waits goes on."""
+        """Sets new limits; running and queued requests are kept."""
         self._limit = limit
         self._shares = shares
         self._share_total = sum(shares.values()) or 1.0
@@ -95,7 +97,7 @@
     def submit(
         self, ticket: Ticket, now: float
     ) -> Admitted | Queued | Rejection:
-        """Takes a request; it starts, waits or is refused at once."""
+        """Admits, queues or rejects a request."""
         if self._may_start(ticket.team):
             self._start(ticket)
             return Admitted(ticket=ticket)
@@ -108,59 +110,65 @@
         return Queued(ticket=ticket)
 
     def record_end(self, team: str, duration_s: float) -> list[Admitted]:
-        """Counts a request that no longer runs.
+        """Records that a request no longer runs.
 
         Args:
             team: The request's team.
             duration_s: How long it ran; 0 if that is not known.
 
         Returns:
-            Waiting requests that start now.
+            Queued requests that start now.
         """
         self._running[team] -= 1
         if self._running[team] <= 0:
             del self._running[team]
         self._total -= 1
-        self._service_s += _PACE_WEIGHT * (duration_s - self._service_s)
-        return self._drain()
+        self._service_s += _SERVICE_TIME_WEIGHT * (duration_s - self._service_s)
+        return self._start_queued()
 
     def expire(self, now: float) -> list[Rejection]:
-        """Refuses what has waited past its deadline."""
-        given_up = []
+        """Rejects queued requests whose deadline has passed."""
+        rejected = []
         for queue in self._queues.values():
             while queue and queue[0].deadline_s <= now:
-                given_up.append(self._refuse(queue.popleft()))
-        self._drop_empty()
-        return given_up
+                rejected.append(self._reject(queue.popleft()))
+        self._remove_empty_queues()
+        return rejected
 
     def cancel(self, ticket: Ticket) -> None:
-        """Removes a waiting request whose caller went away."""
+        """Removes a queued request whose caller has disconnected."""
         key = (_RANKS[ticket.priority], ticket.team)
         queue = self._queues.get(key)
         if queue is not None and ticket in queue:
             queue.remove(ticket)
             self._waiting -= 1
-            self._drop_empty()
+            self._remove_empty_queues()
 
     def expected_wait_s(self, ticket: Ticket) -> float:
-        """Estimates the wait behind those of the same or higher priority."""
+        """Estimates the queueing time of a request.
+
+        Counts queued requests of higher priority, and those of the same
+        priority and team.
+        """
         rank = _RANKS[ticket.priority]
         ahead = sum(
             len(queue)
             for (other, team), queue in self._queues.items()
             if other < rank or (other == rank and team == ticket.team)
         )
-        pace = self._service_s / max(1.0, self._guaranteed(ticket.team))
-        return (ahead + 1) * pace
+        interval_s = self._service_s / max(
+            1.0, self._guaranteed_slots(ticket.team)
+        )
+        return (ahead + 1) * interval_s
 
-    def _guaranteed(self, team: str) -> float:
+    def _guaranteed_slots(self, team: str) -> float:
         share = self._shares.get(team, 1.0)
         return self._limit * share / max(self._share_total, share)
 
     def _may_start(self, team: str) -> bool:
         if self._total >= self._limit:
             return False
-        if self._running[team] < math.floor(self._guaranteed(team)):
+        if self._running[team] < math.floor(self._guaranteed_slots(team)):
             return True
         return self._total < max(
             1, math.floor(self._limit * (1 - RESERVED_SHARE))
@@ -170,34 +178,34 @@
         self._running[ticket.team] += 1
         self._total += 1
 
-    def _drain(self) -> list[Admitted]:
+    def _start_queued(self) -> list[Admitted]:
         started = []
-        while (key := self._next()) is not None:
+        while (key := self._next_queue()) is not None:
             ticket = self._queues[key].popleft()
             self._waiting -= 1
             self._start(ticket)
             started.append(Admitted(ticket=ticket))
-            self._drop_empty()
+            self._remove_empty_queues()
         return started
 
-    def _next(self) -> tuple[int, str] | None:
+    def _next_queue(self) -> tuple[int, str] | None:
         ready = [key for key in self._queues if self._may_start(key[1])]
         if not ready:
             return None
-        return min(ready, key=self._turn)
+        return min(ready, key=self._order_key)
 
-    def _turn(self, key: tuple[int, str]) -> tuple[int, float, str]:
+    def _order_key(self, key: tuple[int, str]) -> tuple[int, float, str]:
         rank, team = key
         usage = self._running[team] / self._shares.get(team, 1.0)
         return rank, usage, team
 
-    def _refuse(self, ticket: Ticket) -> Rejection:
+    def _reject(self, ticket: Ticket) -> Rejection:
         self._waiting -= 1
         return Rejection(
             ticket=ticket, retry_after_s=self.expected_wait_s(ticket)
         )
 
-    def _drop_empty(self) -> None:
+    def _remove_empty_queues(self) -> None:
         empty = [key for key, queue in self._queues.items() if not queue]
         for key in empty:
             del self._queues[key]
--- a/irisshelf/routing/owned/cache_view.py
+++ b/irisshelf/routing/owned/cache_view.py
@@ -1,8 +1,9 @@
-"""What the owner of an engine thinks is in the engine's prefix cache.
+"""The owner's model of an engine's prefix cache.
 
-The owner sees every request that its engines get, so it can follow a least
-recently used cache of the engine's size. The engine's own report, the cached
-tokens that it reports with each answer and its cache events, corrects it.
+The owner sees every request that its engines receive, and can therefore
+simulate a least recently used cache of the same size. The engine corrects the
+model with the number of cached tokens reported in each response and with its
+cache events.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class CacheView:
-    """One engine's cache, as its owner follows it.
+    """Simulated prefix cache of one engine.
 
     Args:
         capacity_tokens: Size of the engine's cache.
@@ -34,49 +35,50 @@
         self._tokens: collections.OrderedDict[int, int] = (
             collections.OrderedDict()
         )
-        self._held = 0
+        self._used_tokens = 0
 
     def __len__(self) -> int:
         return len(self._tokens)
 
     def holds(self, key: int) -> bool:
-        """Tells whether a shared history or a chat is thought cached."""
+        """Tells whether a shared history or a chat is assumed to be cached."""
         return key in self._tokens
 
     def cached_tokens(self, ctx: context.Context) -> int:
-        """Returns how much of a prompt is thought cached."""
+        """Returns the number of prompt tokens assumed to be cached."""
         cached = 0
         if ctx.shared_key:
             if ctx.shared_key not in self._tokens:
                 return 0
             cached = ctx.shared_tokens
-        held = self._tokens.get(ctx.chat_key, 0)
-        return cached + min(held, ctx.chat_tokens)
+        chat_cached = self._tokens.get(ctx.chat_key, 0)
+        return cached + min(chat_cached, ctx.chat_tokens)
 
     def touch(self, ctx: context.Context, *, answer_tokens: int = 0) -> None:
-        """Notes a prompt, and the answer once it is whole, as cached."""
+        """Marks a prompt, and a completed answer if given, as just used."""
         chat = ctx.chat_tokens + ctx.new_tokens + answer_tokens
         self._put(ctx.chat_key, chat)
         if ctx.shared_key:
-            # After the chat: a prefix outlives what builds on it.
+            # Used after the chat, since a prefix is evicted only after the
+            # entries that extend it.
             self._put(ctx.shared_key, ctx.shared_tokens)
         self._evict()
 
     def drop(self, key: int) -> None:
-        """Notes that the engine has evicted a shared history or a chat."""
-        self._held -= self._tokens.pop(key, 0)
+        """Removes a shared history or a chat that the engine has evicted."""
+        self._used_tokens -= self._tokens.pop(key, 0)
 
     def clear(self) -> None:
-        """Notes that the engine has lost its cache."""
+        """Removes all entries, after the engine has lost its cache."""
         self._tokens.clear()
-        self._held = 0
+        self._used_tokens = 0
 
     def _put(self, key: int, tokens: int) -> None:
-        self._held += tokens - self._tokens.get(key, 0)
+        self._used_tokens += tokens - self._tokens.get(key, 0)
         self._tokens[key] = tokens
         self._tokens.move_to_end(key)
 
     def _evict(self) -> None:
-        while self._held > self._capacity and self._tokens:
+        while self._used_tokens > self._capacity and self._tokens:
             _, tokens = self._tokens.popitem(last=False)
-            self._held -= tokens
+            self._used_tokens -= tokens
--- a/irisshelf/routing/owned/context.py
+++ b/irisshelf/routing/owned/context.py
@@ -1,7 +1,8 @@
-"""Context keys: what of an engine's prefix cache a request can reuse.
+"""Context keys: the parts of an engine's prefix cache a request can reuse.
 
-A prompt is a chain of blocks, one a message. The leading system messages are
-the shared history (many chats start with it), the rest belongs to the chat.
+A prompt is a sequence of blocks, one per message. The leading system messages
+form the shared history, with which many chats start; the rest belongs to the
+chat.
 """
 
 from __future__ import annotations
@@ -12,22 +13,22 @@
 from collections.abc import Sequence
 from typing import Any
 
-BYTES_PER_TOKEN = 4  # A customary estimate; engines report the true count.
+BYTES_PER_TOKEN = 4  # Common estimate; engines report the exact count.
 DEFAULT_DECODE_TOKENS = 200
 _DIGEST_SIZE = 8
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Context:
-    """What of a request matters for its placement.
+    """The properties of a request that determine its placement.
 
     Attributes:
         shared_key: 64-bit hash of the shared history; 0 if there is none.
-        chat_key: 64-bit hash that names the chat.
-        shared_tokens: Length of the shared history.
-        chat_tokens: Length of the chat so far without the last message.
-        new_tokens: Length of the last message.
-        decode_tokens: Tokens that the answer is expected to take.
+        chat_key: 64-bit hash that identifies the chat.
+        shared_tokens: Length of the shared history in tokens.
+        chat_tokens: Length of the chat without its last message, in tokens.
+        new_tokens: Length of the last message in tokens.
+        decode_tokens: Expected length of the answer in tokens.
     """
 
     shared_key: int
@@ -39,17 +40,17 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Length of the whole prompt."""
+        """Length of the complete prompt in tokens."""
         return self.shared_tokens + self.chat_tokens + self.new_tokens
 
     @property
     def has_history(self) -> bool:
-        """Whether the chat has had an answer before."""
+        """Whether the chat has earlier messages."""
         return self.chat_tokens > 0
 
 
 def hash64(*parts: bytes) -> int:
-    """Hashes some parts to 64 bits, alike on every instance.
+    """Returns a 64-bit hash of a sequence, identical on every instance.
 
     Example:
         >>> hash64(b"a", b"b") == hash64(b"ab")
@@ -63,7 +64,7 @@
 
 
 def decode_limit(body: Mapping[str, Any]) -> int:
-    """Returns the caller's limit on the answer's length; 0 for none."""
+    """Returns the caller's limit on the answer length; 0 if there is none."""
     limit = body.get("max_completion_tokens", body.get("max_tokens"))
     if isinstance(limit, int) and limit > 0:
         return limit
@@ -76,34 +77,37 @@
     """Derives the context of a chat-completions request.
 
     Args:
-        team: The team that asks.
+        team: The caller's team.
         model: The service that serves the model.
-        body: The decoded request; ``messages`` has been checked.
-        expected_decode: Tokens to expect of the answer.
+        body: The decoded request, with validated ``messages``.
+        expected_decode: Expected length of the answer in tokens.
 
     Returns:
-        The context. The chat is named by ``prompt_cache_key`` where the
-        caller gives one, else by its first message that is not shared.
+        The context. The chat is identified by ``prompt_cache_key`` if the
+        caller sets it, else by the first message after the shared history.
     """
     messages: Sequence[Mapping[str, Any]] = body["messages"]
     encoded = [_encode(message) for message in messages]
-    shared_count = _leading_system(messages)
+    shared_count = _count_leading_system(messages)
     shared = encoded[:shared_count]
-    rest = encoded[shared_count:]
+    chat = encoded[shared_count:]
     shared_key = hash64(model.encode(), *shared) if shared else 0
-    named = body.get("prompt_cache_key")
-    if isinstance(named, str):
-        first = named.encode("utf-8", "surrogatepass")
+    cache_key = body.get("prompt_cache_key")
+    if isinstance(cache_key, str):
+        chat_id = cache_key.encode("utf-8", "surrogatepass")
     else:
-        first = b"".join(rest[:1])
+        chat_id = b"".join(chat[:1])
     return Context(
         shared_key=shared_key,
         chat_key=hash64(
-            model.encode(), team.encode(), shared_key.to_bytes(8, "big"), first
+            model.encode(),
+            team.encode(),
+            shared_key.to_bytes(8, "big"),
+            chat_id,
         ),
         shared_tokens=_tokens(shared),
-        chat_tokens=_tokens(rest[:-1]),
-        new_tokens=max(1, _tokens(rest[-1:])),
+        chat_tokens=_tokens(chat[:-1]),
+        new_tokens=max(1, _tokens(chat[-1:])),
         decode_tokens=expected_decode,
     )
 
@@ -111,11 +115,12 @@
 def _encode(message: Mapping[str, Any]) -> bytes:
     role = str(message.get("role", ""))
     content = message.get("content", "")
-    # A lone surrogate is valid JSON but not UTF-8; engines decide about it.
+    # An unpaired surrogate is valid in JSON but cannot be encoded in UTF-8.
+    # Whether to accept it is left to the engines.
     return f"{role}\n{content}".encode("utf-8", "surrogatepass")
 
 
-def _leading_system(messages: Sequence[Mapping[str, Any]]) -> int:
+def _count_leading_system(messages: Sequence[Mapping[str, Any]]) -> int:
     count = 0
     for message in messages:
         if message.get("role") not in ("system", "developer"):
--- a/irisshelf/routing/owned/displaced.py
+++ b/irisshelf/routing/owned/displaced.py
@@ -1,4 +1,4 @@
-"""Bounded table of chats whose context is not at their ranked home."""
+"""Bounded table of chats whose context is cached outside their home engine."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class DisplacedChats:
-    """Least-recently-used map from a chat's key to the engine that holds it.
+    """LRU map from the key of a chat to the engine that caches its context.
 
     Args:
-        max_entries: Chats remembered; the least recently used one goes first.
+        max_entries: Number of chats kept; the least recently used are evicted.
     """
 
     def __init__(self, *, max_entries: int = MAX_ENTRIES):
@@ -24,25 +24,25 @@
         return len(self._engines)
 
     def get(self, chat_key: int) -> int | None:
-        """Returns the engine that holds the chat, if it is not its home."""
+        """Returns the engine that caches a displaced chat, if known."""
         engine = self._engines.get(chat_key)
         if engine is not None:
             self._engines.move_to_end(chat_key)
         return engine
 
     def put(self, chat_key: int, engine: int) -> None:
-        """Remembers where a chat's context is."""
+        """Records the engine that caches the context of a chat."""
         self._engines[chat_key] = engine
         self._engines.move_to_end(chat_key)
         if len(self._engines) > self._max_entries:
             self._engines.popitem(last=False)
 
     def discard(self, chat_key: int) -> None:
-        """Forgets a chat: its context is home again, or gone."""
+        """Removes a chat whose context is on its home engine again or lost."""
         self._engines.pop(chat_key, None)
 
     def discard_engine(self, engine: int) -> None:
-        """Forgets every chat that an engine held; it lost its cache."""
-        gone = [key for key, held in self._engines.items() if held == engine]
-        for key in gone:
+        """Removes all chats of an engine that has lost its cache."""
+        lost = [key for key, held in self._engines.items() if held == engine]
+        for key in lost:
             del self._engines[key]
--- a/irisshelf/routing/owned/health.py
+++ b/irisshelf/routing/owned/health.py
@@ -1,8 +1,8 @@
-"""Health of backend servers and engines, from traffic, probes and lists.
+"""Health of backend servers and engines, from traffic, probes and server lists.
 
-The states are those of ``charts/backend_health.json``. A server that was down
-must stay up for a while before it gets work again, longer each time that it
-flaps, so that placement does not swing to and fro.
+The states are defined in ``charts/backend_health.json``. A server that has gone
+down is held down for a time that grows with each flap, so that placement does
+not oscillate.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Event(enum.StrEnum):
-    """What was seen of a backend server or engine."""
+    """An observation of a backend server or engine."""
 
     SUCCESS = "success"
     FAILURE = "failure"
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Health:
-    """What is known of one backend server or engine."""
+    """Health of one backend server or engine."""
 
     state: str
     flaps: int = 0
@@ -39,10 +39,11 @@
 
 
 class HealthTracker:
-    """Health of backend servers, named ``SERVER``, and ``SERVER/ENGINE``.
+    """Health of backend servers (``SERVER``) and engines (``SERVER/ENGINE``).
 
-    One not heard of is taken as healthy: a new instance serves at once and
-    learns from its own traffic. An engine takes work if it and its server do.
+    A server or engine without observations counts as healthy, so that a new
+    instance can serve immediately and learn from its own traffic. An engine is
+    available for new work if both it and its server are.
     """
 
     def __init__(self):
@@ -50,47 +51,47 @@
         self._servers: dict[str, Health] = {}
 
     def state(self, name: str) -> str:
-        """Returns the state of a server or engine itself."""
+        """Returns the state of a server or engine."""
         return self._get(name).state
 
     def last_success_s(self, name: str) -> float:
-        """Returns when a server or engine last answered well."""
+        """Returns the time of the last successful request or probe."""
         return self._get(name).last_success_s
 
     def takes_work(self, name: str) -> bool:
-        """Tells whether a server or engine may get new work."""
+        """Tells whether a server or engine may receive new work."""
         server, _, engine = name.partition("/")
-        fit = self._chart.has_tag(self._get(server).state, "takes_work")
-        if not engine or not fit:
-            return fit
+        available = self._chart.has_tag(self._get(server).state, "takes_work")
+        if not engine or not available:
+            return available
         return self._chart.has_tag(self._get(name).state, "takes_work")
 
     def observe(self, name: str, event: Event, now: float) -> bool:
-        """Takes an observation.
+        """Records an observation.
 
         Args:
-            name: The server's or engine's name.
-            event: What was seen.
+            name: Name of the server or engine.
+            event: The observation.
             now: Time in seconds.
 
         Returns:
-            Whether its fitness for new work has changed.
+            Whether its availability for new work has changed.
         """
         before = self._get(name)
-        if event is Event.PROBE_OK and self._held_down(before, now):
+        if event is Event.PROBE_OK and self._is_held_down(before, now):
             return False
         state = self._chart.move(before.state, event.value)
         after = dataclasses.replace(before, state=state)
         if event in (Event.SUCCESS, Event.PROBE_OK):
             after = dataclasses.replace(after, last_success_s=now)
         if state == "down" and before.state != "down":
-            after = _gone_down(after, now)
+            after = _record_down(after, now)
         self._servers[name] = after
-        was = self._chart.has_tag(before.state, "takes_work")
-        return was != self._chart.has_tag(state, "takes_work")
+        was_available = self._chart.has_tag(before.state, "takes_work")
+        return was_available != self._chart.has_tag(state, "takes_work")
 
     def retain(self, names: frozenset[str]) -> None:
-        """Drops all servers, and their engines, but these servers."""
+        """Removes all servers not in ``names``, with their engines."""
         for name in list(self._servers):
             if name.partition("/")[0] not in names:
                 del self._servers[name]
@@ -98,14 +99,14 @@
     def _get(self, name: str) -> Health:
         return self._servers.get(name) or Health(state=self._chart.initial)
 
-    def _held_down(self, health: Health, now: float) -> bool:
+    def _is_held_down(self, health: Health, now: float) -> bool:
         if health.state != "down":
             return False
         return now - health.down_since_s < hold_down_s(health.flaps)
 
 
 def hold_down_s(flaps: int) -> float:
-    """Returns how long a server stays out after its latest flap.
+    """Returns how long a server is held down after its latest flap.
 
     Example:
         >>> hold_down_s(1), hold_down_s(3)
@@ -114,7 +115,7 @@
     return min(MAX_HOLD_DOWN_S, MIN_HOLD_DOWN_S * 2 ** max(0, flaps - 1))
 
 
-def _gone_down(health: Health, now: float) -> Health:
+def _record_down(health: Health, now: float) -> Health:
     recent = now - health.down_since_s < FLAP_RESET_S
     flaps = health.flaps + 1 if recent else 1
     return dataclasses.replace(health, flaps=flaps, down_since_s=now)
--- a/irisshelf/routing/owned/placement.py
+++ b/irisshelf/routing/owned/placement.py
@@ -1,20 +1,20 @@
-"""Chooses the engine for a request: cached context first, load bound always.
-
-Each engine has one owner among the instances. The entry instance hands a
-request to the owner of the engine that it should go to; the owner knows all
-that runs on its engines and decides, or forwards to the owner of the next
-candidate. With ``owned`` left at None one instance decides for all engines.
-
-Candidates, in order: the engine that is known to hold the chat although it is
-not its home; the chat's home; the other homes of its shared history; then any
-engine of this instance, first in the ranking first, last the least loaded.
-The first that is available and below the bound is taken.
-
-What it promises: no request goes to an engine whose believed load is at or
-above ``load_bound`` times the mean, while any engine that this instance knows
-of is below it. As loads come in whole requests, an engine may end above the
-bound by part of one request. What it cannot promise: that believed loads are
-the true ones; see ``load`` and docs/notes/placement.md.
+"""Chooses the engine for a request by cache affinity, within a load bound.
+
+Each engine is owned by one instance. The entry instance passes a request to the
+owner of the preferred engine. The owner knows all requests that run on its
+engines; it places the request or forwards it to the owner of the next
+candidate. Until ``set_owned`` is called, an instance owns all engines.
+
+Candidates, in order: the engine known to cache a displaced chat; the chat's
+home; the other homes of its shared history; the engines of this instance in
+ranking order; the least loaded engine of this instance. The first candidate
+that is available and below the load bound is chosen.
+
+Guarantee: no request is placed on an engine whose estimated load is at or above
+``load_bound`` times the mean while an engine known to this instance is below
+it. Since load is added in whole requests, an engine may exceed the bound by
+part of one request. The guarantee applies to estimated loads, which may differ
+from the actual ones; see ``load`` and docs/notes/placement.md.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 from irisshelf.routing.owned import ranking
 
 HOMES_PER_GROUP = 8
-_GROUP_SHIFT = 32  # Group and slot of a chat use different bits of its key.
+_GROUP_SHIFT = 32  # The group of a chat uses other key bits than its slot.
 _GROUP_SALT = 0x9E3779B97F4A7C15
 _KEY_MASK = (1 << 64) - 1
-_ROOM_TRIES = 32
+_RANDOM_PROBES = 32
 
 
 class Reason(enum.StrEnum):
@@ -54,21 +54,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Config:
-    """What placement takes from the bundle, and its switches.
+    """Parameters of placement.
 
     Attributes:
         load_bound: Bound on an engine's load, as a multiple of the mean.
-        prefill_weight: Work of an uncached prompt token, where a token to
-            decode is 1.
-        spread: Homes of a shared history, as a multiple of its share of all
-            load times the number of engines.
-        margin: Part of the room above the mean that is left unused, since
-            believed loads are not exact; 0 to 1.
+        prefill_weight: Work of an uncached prompt token, relative to a token
+            to decode.
+        spread: Number of homes of a shared history, as a multiple of its share
+            of the total load times the number of engines.
+        margin: Fraction, 0 to 1, of the headroom between the mean and the bound
+            that is left unused because load estimates are inexact.
         cache_tokens: Size of an engine's prefix cache.
-        use_reports: Whether engines' reports are used.
-        use_displaced: Whether displaced chats are remembered.
-        use_cache_view: Whether an owner follows its engines' caches; without,
-            a chat is thought cached where it belongs.
+        use_reports: Whether load reports of engines are used.
+        use_displaced: Whether displaced chats are tracked.
+        use_cache_view: Whether an owner simulates the caches of its engines. If
+            not, the context of a chat is assumed to be cached at its homes.
     """
 
     load_bound: float = 1.25
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Placement:
-    """The engine chosen, the work it will have, and why."""
+    """The chosen engine, the estimated work, and the reason."""
 
     engine: int
     work: float
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Forward:
-    """The owner of this engine should place the request."""
+    """The request should be placed by the owner of this engine."""
 
     engine: int
 
@@ -102,8 +102,8 @@
     """Outstanding work on a group of engines.
 
     Attributes:
-        work: Sum of the work, in tokens.
-        engines: Number of those engines that take work.
+        work: Total work, in tokens.
+        engines: Number of engines in the group that are available.
     """
 
     work: float
@@ -114,11 +114,11 @@
     """Places the requests of one service.
 
     Args:
-        cfg: Limits and switches.
-        members: The engines that the bundle lists, with weights.
-        rng: Breaks ties among least loaded engines.
-        instances: Number of instances that place on these engines, where
-            engines have no owners.
+        cfg: Parameters.
+        members: The engines listed in the bundle, with weights.
+        rng: Breaks ties among the least loaded engines.
+        instances: Number of instances that place requests on these engines,
+            for engines without an owner.
     """
 
     def __init__(
@@ -133,66 +133,66 @@
         self.ranking = ranking.Ranking(members=members)
         self.loads = load.LoadTracker(size=len(members), instances=instances)
         self.displaced = displaced.DisplacedChats()
-        self._views = {
-            engine: self._new_view() for engine in range(len(members))
+        self._cache_views = {
+            engine: self._new_cache_view() for engine in range(len(members))
         }
         self._popularity = popularity.Popularity()
         self._rng = rng
         self._available = [True] * len(members)
         self._owned: Sequence[int] = range(len(members))
-        self._is_owned = [True] * len(members)
-        self._full: frozenset[int] = frozenset()
-        self._others = WorkTotals(work=0.0, engines=0)
-        self._allowed = 1 + (cfg.load_bound - 1) * (1 - cfg.margin)
+        self._owned_flags = [True] * len(members)
+        self._remote_full: frozenset[int] = frozenset()
+        self._remote_totals = WorkTotals(work=0.0, engines=0)
+        self._target_ratio = 1 + (cfg.load_bound - 1) * (1 - cfg.margin)
 
     @property
     def owned(self) -> Sequence[int]:
-        """The engines that this instance places on."""
+        """The engines that this instance owns."""
         return self._owned
 
     def set_available(self, engine: int, available: bool) -> None:
-        """Marks an engine as able or unable to take new work."""
+        """Sets whether an engine can take new work."""
         self._available[engine] = available
 
     def is_available(self, engine: int) -> bool:
-        """Tells whether an engine may take new work."""
+        """Tells whether an engine can take new work."""
         return self._available[engine]
 
     def set_owned(self, owned: Sequence[int]) -> None:
-        """Sets the engines that this instance places on."""
+        """Sets the engines that this instance owns."""
         self._owned = tuple(owned)
-        self._views = {
-            engine: self._views.get(engine) or self._new_view()
+        self._cache_views = {
+            engine: self._cache_views.get(engine) or self._new_cache_view()
             for engine in owned
         }
-        self._is_owned = [False] * len(self.ranking)
+        self._owned_flags = [False] * len(self.ranking)
         for engine in owned:
-            self._is_owned[engine] = True
+            self._owned_flags[engine] = True
 
     def set_remote_totals(
         self, totals: WorkTotals, *, full: frozenset[int] = frozenset()
     ) -> None:
-        """Takes what the other owners say.
+        """Sets the loads reported by the other owners.
 
         Args:
-            totals: Work on all engines of others together.
-            full: Engines of others that are at their bound.
+            totals: Work on all engines of other owners.
+            full: Engines of other owners that are at their bound.
         """
-        self._others = totals
-        self._full = full
+        self._remote_totals = totals
+        self._remote_full = full
 
     def totals(self) -> WorkTotals:
-        """Returns what this instance says of the engines that it owns."""
-        works = [
+        """Returns the work on the available engines that this instance owns."""
+        loads = [
             self.loads.estimate(engine)
             for engine in self._owned
             if self._available[engine]
         ]
-        return WorkTotals(work=sum(works), engines=len(works))
+        return WorkTotals(work=sum(loads), engines=len(loads))
 
     def full_engines(self) -> frozenset[int]:
-        """Returns the engines owned here that are at their bound."""
-        limit = self._allowed * self._mean(0.0)
+        """Returns the owned engines that are at their bound."""
+        limit = self._target_ratio * self._mean(0.0)
         return frozenset(
             engine
             for engine in self._owned
@@ -200,7 +200,7 @@
         )
 
     def record_arrival(self, ctx: context.Context, now: float) -> None:
-        """Counts a request that enters here, wherever it is placed."""
+        """Records a request received from a caller, wherever it is placed."""
         self._popularity.add(ctx.shared_key, ctx.decode_tokens, now)
 
     def preferred_engine(
@@ -230,28 +230,28 @@
 
         Args:
             ctx: The request's context.
-            avoid: Engines that already failed, or turned down, this request.
-            may_forward: Whether another instance may be asked.
+            avoid: Engines that have failed or refused this request.
+            may_forward: Whether the request may be forwarded.
 
         Returns:
-            The placement; or a forward; or None if no engine is available.
-            The caller says ``sent`` once it acts on a placement.
+            A placement, a forward, or None if no engine is available. The
+            caller calls ``record_sent`` when it carries out a placement.
         """
-        limit = self._allowed * self._mean(ctx.decode_tokens)
+        limit = self._target_ratio * self._mean(ctx.decode_tokens)
         for engine, reason in self._candidates(ctx):
             if not self._available[engine] or engine in avoid:
                 continue
-            if not self._is_owned[engine]:
-                if may_forward and engine not in self._full:
+            if not self._owned_flags[engine]:
+                if may_forward and engine not in self._remote_full:
                     return Forward(engine=engine)
-            elif self._fits(engine, limit):
+            elif self._is_below(engine, limit):
                 return self._placement(ctx, engine, reason)
-        return self._last_resort(ctx, avoid, may_forward, limit)
+        return self._fallback(ctx, avoid, may_forward, limit)
 
     def work(self, ctx: context.Context, engine: int, reason: Reason) -> float:
-        """Returns the work, in tokens, that a request is thought to be."""
+        """Returns the estimated work of a request on an engine, in tokens."""
         if self.cfg.use_cache_view:
-            cached = self._views[engine].cached_tokens(ctx)
+            cached = self._cache_views[engine].cached_tokens(ctx)
         elif reason in (Reason.HOME, Reason.DISPLACED):
             cached = ctx.shared_tokens + ctx.chat_tokens
         elif reason is Reason.OTHER_HOME:
@@ -264,16 +264,16 @@
     def record_sent(
         self, ctx: context.Context, placement: Placement, now: float
     ) -> None:
-        """Counts a request that goes to its engine."""
+        """Records that a request is sent to its engine."""
         self.loads.add(placement.engine, placement.work, now)
-        if self.cfg.use_cache_view and placement.engine in self._views:
-            self._views[placement.engine].touch(ctx)
+        if self.cfg.use_cache_view and placement.engine in self._cache_views:
+            self._cache_views[placement.engine].touch(ctx)
         self.record_location(ctx, placement.engine, placement.reason)
 
     def record_location(
         self, ctx: context.Context, engine: int, reason: Reason
     ) -> None:
-        """Notes where a chat's context now is, if that is not its home."""
+        """Records the engine of a chat's context, if it is not its home."""
         if not self.cfg.use_displaced:
             return
         if reason is Reason.HOME:
@@ -284,43 +284,43 @@
     def record_answer(
         self, ctx: context.Context, engine: int, answer_tokens: int
     ) -> None:
-        """Notes that an answer is whole, so that its text is cached too."""
-        if self.cfg.use_cache_view and engine in self._views:
-            self._views[engine].touch(ctx, answer_tokens=answer_tokens)
+        """Records a complete answer, whose text is then cached as well."""
+        if self.cfg.use_cache_view and engine in self._cache_views:
+            self._cache_views[engine].touch(ctx, answer_tokens=answer_tokens)
 
     def reset_cache(self, engine: int) -> None:
-        """Notes that an engine has started anew."""
-        if engine in self._views:
-            self._views[engine].clear()
+        """Clears the cache state of an engine that has restarted."""
+        if engine in self._cache_views:
+            self._cache_views[engine].clear()
         self.displaced.discard_engine(engine)
 
     def record_end(self, engine: int, work: float, now: float) -> None:
-        """Counts work that is done, or that no longer runs."""
+        """Removes work that is done or no longer runs."""
         self.loads.add(engine, -work, now)
 
     def report(self, engine: int, report: load.LoadReport) -> None:
-        """Takes an engine's report of its load."""
-        if self.cfg.use_reports and self._is_owned[engine]:
+        """Applies an engine's load report."""
+        if self.cfg.use_reports and self._owned_flags[engine]:
             self.loads.report(engine, report)
 
     def home_count(self, ctx: context.Context) -> int:
-        """Returns over how many homes a shared history is spread now.
+        """Returns the current number of homes of a shared history.
 
-        A power of two, so that instances which see somewhat different shares
-        mostly agree, and a step moves half the chats at most.
+        It is a power of two, so that instances that see slightly different
+        load shares mostly agree, and a change moves at most half of the chats.
         """
         share = self._popularity.share(ctx.shared_key)
-        wanted = share * len(self.ranking) * self.cfg.spread
-        count = 1 << max(0, math.ceil(math.log2(max(1.0, wanted))))
+        target = share * len(self.ranking) * self.cfg.spread
+        count = 1 << max(0, math.ceil(math.log2(max(1.0, target))))
         return min(count, len(self.ranking))
 
     def _homes(self, ctx: context.Context) -> Sequence[int]:
-        """Returns the homes that a chat may have, its own first.
+        """Returns the homes of a chat's shared history, the chat's own first.
 
-        Homes beyond a group of ``HOMES_PER_GROUP`` form further groups, each
-        ranked by a key of its own, and a chat keeps to one group: the cost
-        does not grow with the number of homes, and when groups double, half
-        of the chats stay where they are.
+        The homes are divided into groups of up to ``HOMES_PER_GROUP``, each
+        ranked by its own key, and a chat uses only one group. The cost is thus
+        independent of the number of homes, and if the number of groups doubles,
+        half of the chats keep their home.
         """
         if not ctx.shared_key:
             return self.ranking.first_members(ctx.chat_key)[:1]
@@ -344,16 +344,16 @@
             yield engine, Reason.OTHER_HOME
         for key in (ctx.shared_key, ctx.chat_key):
             for engine in self.ranking.first_members(key) if key else ():
-                if self._is_owned[engine]:
+                if self._owned_flags[engine]:
                     yield engine, Reason.SPILL
 
     def _mean(self, more: float) -> float:
-        """Returns the mean load of an engine, fleet-wide, with more work."""
+        """Returns the fleet-wide mean engine load after adding some work."""
         own = self.totals()
-        engines = own.engines + self._others.engines
-        return (own.work + self._others.work + more) / max(1, engines)
+        engines = own.engines + self._remote_totals.engines
+        return (own.work + self._remote_totals.work + more) / max(1, engines)
 
-    def _fits(self, engine: int, limit: float) -> bool:
+    def _is_below(self, engine: int, limit: float) -> bool:
         before = self.loads.estimate(engine)
         return before <= 0 or before < limit
 
@@ -364,22 +364,22 @@
             engine=engine, work=self.work(ctx, engine, reason), reason=reason
         )
 
-    def _new_view(self) -> cache_view.CacheView:
+    def _new_cache_view(self) -> cache_view.CacheView:
         return cache_view.CacheView(capacity_tokens=self.cfg.cache_tokens)
 
-    def _last_resort(
+    def _fallback(
         self,
         ctx: context.Context,
         avoid: frozenset[int],
         may_forward: bool,
         limit: float,
     ) -> Placement | Forward | None:
-        """Takes the least loaded engine, here or with another owner."""
+        """Falls back to the least loaded owned engine, or another owner's."""
         engine = self._least_loaded(avoid)
-        if engine is not None and self._fits(engine, limit):
+        if engine is not None and self._is_below(engine, limit):
             return self._placement(ctx, engine, Reason.LEAST_LOADED)
         if may_forward:
-            other = self._other_with_room(ctx, avoid)
+            other = self._remote_engine_below_bound(ctx, avoid)
             if other is not None:
                 return Forward(engine=other)
         if engine is None:
@@ -400,17 +400,17 @@
                 best.append(engine)
         return self._rng.choice(best) if best else None
 
-    def _other_with_room(
+    def _remote_engine_below_bound(
         self, ctx: context.Context, avoid: frozenset[int]
     ) -> int | None:
         count = len(self.ranking)
         order = self.ranking.first_members(ctx.chat_key)
-        tries = (self._rng.randrange(count) for _ in range(_ROOM_TRIES))
-        for engine in itertools.chain(order, tries):
+        probes = (self._rng.randrange(count) for _ in range(_RANDOM_PROBES))
+        for engine in itertools.chain(order, probes):
             if (
-                not self._is_owned[engine]
+                not self._owned_flags[engine]
                 and self._available[engine]
-                and engine not in self._full
+                and engine not in self._remote_full
                 and engine not in avoid
             ):
                 return engine
--- a/irisshelf/routing/owned/ranking.py
+++ b/irisshelf/routing/owned/ranking.py
@@ -1,11 +1,11 @@
-"""Weighted rendezvous ranking that every instance computes alike.
+"""Weighted rendezvous ranking, with the same result on every instance.
 
-Keys fall into a fixed number of slots, and the ranking of a slot is computed
-once and kept. A decision then costs one look-up, however long the list of
-engines is. Engines that are down or leaving are skipped by the caller and do
-not change a ranking: a flap costs nothing here. Only a bundle that changes the
-set of engines makes rankings new, and by rendezvous hashing such a change
-moves just the slots of the engines that came or went.
+Keys are mapped to a fixed number of slots. The ranking of a slot is computed
+once and cached, so that a decision takes one look-up regardless of the number
+of engines. Engines that are down or leaving are skipped by the caller and do
+not change a ranking, so that a flap costs nothing here. Rankings are recomputed
+only if a bundle changes the set of engines; rendezvous hashing then moves only
+the slots of the added and removed engines.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit
 rates", 1998 (rendezvous hashing); the weighted score is -w / ln(u).
@@ -21,7 +21,7 @@
 from irisshelf.routing.owned import context
 
 SLOTS = 1 << 16
-DEPTH = 16  # Engines kept a slot; a deeper walk computes the whole ranking.
+DEPTH = 16  # Members cached per slot; ``full_order`` returns all of them.
 _MIX_1 = numpy.uint64(0xBF58476D1CE4E5B9)
 _MIX_2 = numpy.uint64(0x94D049BB133111EB)
 _GOLDEN = 0x9E3779B97F4A7C15
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Member:
-    """Something that can be ranked: an engine or an instance."""
+    """A member of a ranking: an engine or an instance."""
 
     name: str
     weight: float = 1.0
@@ -41,8 +41,8 @@
     """Ranks a fixed set of members for any 64-bit key.
 
     Args:
-        members: What to rank; the order does not matter for the ranking but
-            numbers the members: rankings hold these numbers.
+        members: The members to rank. Rankings contain indexes into this
+            sequence; its order does not affect the ranking.
         slots: Number of slots, a power of two.
 
     Example:
@@ -58,7 +58,7 @@
         self._seeds = numpy.array(seeds, dtype=numpy.uint64)
         weights = [m.weight for m in self.members]
         self._weights = numpy.array(weights, dtype=numpy.float64)
-        self._kept: dict[int, tuple[int, ...]] = {}
+        self._cached: dict[int, tuple[int, ...]] = {}
 
     def __len__(self) -> int:
         return len(self.members)
@@ -66,25 +66,27 @@
     def first_members(self, key: int) -> tuple[int, ...]:
         """Returns the first ``DEPTH`` members for a key, best first."""
         slot = key & self._mask
-        kept = self._kept.get(slot)
-        if kept is None:
-            kept = self._first(slot)
-            self._kept[slot] = kept
-        return kept
+        cached = self._cached.get(slot)
+        if cached is None:
+            cached = self._compute_first(slot)
+            self._cached[slot] = cached
+        return cached
 
     def full_order(self, key: int) -> tuple[int, ...]:
-        """Returns all members for a key, best first; costs O(n log n)."""
-        costs = self._costs(key & self._mask)
+        """Returns all members for a key, best first, in O(n log n)."""
+        costs = self._slot_costs(key & self._mask)
         return tuple(numpy.argsort(costs, kind="stable").tolist())
 
     def rank_subset(self, key: int, subset: Sequence[int]) -> list[int]:
-        """Ranks a few members for a key, by the key itself, not its slot."""
+        """Ranks some members by the key itself instead of its slot."""
         picked = numpy.array(subset, dtype=numpy.intp)
-        costs = self._costs_of(key, self._seeds[picked], self._weights[picked])
+        costs = self._compute_costs(
+            key, self._seeds[picked], self._weights[picked]
+        )
         return picked[numpy.argsort(costs, kind="stable")].tolist()
 
-    def _first(self, slot: int) -> tuple[int, ...]:
-        costs = self._costs(slot)
+    def _compute_first(self, slot: int) -> tuple[int, ...]:
+        costs = self._slot_costs(slot)
         if len(costs) <= DEPTH:
             picked = numpy.argsort(costs, kind="stable")
         else:
@@ -92,13 +94,13 @@
             picked = part[numpy.argsort(costs[part], kind="stable")]
         return tuple(picked.tolist())
 
-    def _costs(self, slot: int) -> numpy.ndarray:
-        return self._costs_of(slot, self._seeds, self._weights)
+    def _slot_costs(self, slot: int) -> numpy.ndarray:
+        return self._compute_costs(slot, self._seeds, self._weights)
 
-    def _costs_of(
+    def _compute_costs(
         self, key: int, seeds: numpy.ndarray, weights: numpy.ndarray
     ) -> numpy.ndarray:
-        """Draws an exponential variable a member; the least is the first."""
+        """Returns an exponential variate per member; the lowest ranks first."""
         salt = numpy.uint64((key + 1) * _GOLDEN & _MASK)
         mixed = seeds ^ salt
         mixed = (mixed ^ (mixed >> numpy.uint64(30))) * _MIX_1
--- a/irisshelf/routing/owned/retry.py
+++ b/irisshelf/routing/owned/retry.py
@@ -1,7 +1,8 @@
-"""Whether a failed attempt is followed by another.
+"""Decides whether a failed attempt is retried.
 
-A retry needs all of: the request did not run, or may be repeated; nothing of
-an answer has reached the caller; budget; time; attempts left.
+A retry requires that the request did not run or is repeatable, that no part of
+a response has reached the caller, that the deadline has not passed, and that
+neither the retry budget nor the number of attempts is exhausted.
 """
 
 from __future__ import annotations
@@ -17,12 +18,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Failure:
-    """How an attempt failed.
+    """A failed attempt.
 
     Attributes:
         outcome: Whether the attempt may have run.
-        cause: What went wrong.
-        delivered: Whether the caller has got any part of the answer.
+        cause: Why it failed.
+        delivered: Whether the caller has received any part of the response.
+        detail: Human-readable explanation.
     """
 
     outcome: outcome.Outcome
@@ -40,22 +42,22 @@
     deadline_s: float,
     budget: retry_budget.RetryBudget,
 ) -> outcome.Refusal | None:
-    """Decides what follows a failed attempt.
+    """Decides whether to retry after a failed attempt.
 
     Args:
-        failure: How the last attempt failed.
-        attempts: Attempts made so far.
+        failure: The last attempt's failure.
+        attempts: Number of attempts so far.
         repeatable: Whether the request may run twice.
         now: Time in seconds.
-        deadline_s: When the caller's time is up.
+        deadline_s: Deadline of the request.
         budget: The service's retry budget.
 
     Returns:
-        None to try again, or the caller's final answer. An earlier attempt
-        that may have run is the caller's to remember: see ``combined_outcome``.
+        None to retry, else the final response. Whether an earlier attempt may
+        have run is not considered here; see ``combined_outcome``.
     """
-    ran = failure.outcome is outcome.Outcome.UNKNOWN
-    may_repeat = repeatable or not ran
+    may_have_run = failure.outcome is outcome.Outcome.UNKNOWN
+    may_repeat = repeatable or not may_have_run
     if (
         may_repeat
         and not failure.delivered
@@ -67,7 +69,7 @@
     return outcome.Refusal(
         outcome=failure.outcome,
         cause=failure.cause,
-        retry_after_s=None if ran else RETRY_AFTER_S,
+        retry_after_s=None if may_have_run else RETRY_AFTER_S,
         detail=failure.detail,
     )
 
@@ -75,7 +77,9 @@
 def combined_outcome(
     first: outcome.Outcome, second: outcome.Outcome
 ) -> outcome.Outcome:
-    """Returns what to say of two attempts: ``unknown`` if either may have run.
+    """Combines the outcomes of two attempts.
+
+    The result is ``unknown`` if either of them may have run.
 
     Example:
         >>> combined_outcome(outcome.Outcome.UNKNOWN, outcome.Outcome.NOT_RUN)
@@ -87,15 +91,15 @@
 
 
 class RetryState:
-    """How one request fares over its attempts, and what follows each.
+    """The attempts of one request.
 
     Args:
         repeatable: Whether the request may run twice.
-        deadline_s: When the caller's time is up.
+        deadline_s: Deadline of the request.
         budget: The service's retry budget.
 
     Attributes:
-        worst: What may be said of all attempts so far.
+        worst_outcome: Combined outcome of all attempts so far.
     """
 
     def __init__(
@@ -112,20 +116,20 @@
         self.worst_outcome = outcome.Outcome.NOT_RUN
 
     def start_attempt(self) -> None:
-        """Counts an attempt."""
+        """Counts an attempt that is about to be made."""
         self._attempts += 1
 
     def cancel_attempt(self) -> None:
-        """Takes an attempt back, as nobody took it."""
+        """Uncounts an attempt that no target accepted."""
         self._attempts -= 1
 
     def record_failure(
         self, failure: Failure, now: float
     ) -> outcome.Refusal | None:
-        """Takes how an attempt failed.
+        """Records a failed attempt.
 
         Returns:
-            None to try again, or the caller's final answer.
+            None to retry, else the final response.
         """
         self.worst_outcome = combined_outcome(
             self.worst_outcome, failure.outcome
@@ -140,7 +144,7 @@
         )
 
     def no_target_left(self, detail: str) -> outcome.Refusal:
-        """Returns the final answer when nobody is left to try."""
+        """Returns the final response when no target is left to try."""
         return outcome.Refusal(
             outcome=self.worst_outcome,
             cause=outcome.Cause.NO_ENGINE,
--- a/irisshelf/routing/owned/service.py
+++ b/irisshelf/routing/owned/service.py
@@ -1,7 +1,8 @@
-"""All decisions about one service's requests on one instance.
+"""All routing decisions for the requests of one service on one instance.
 
-Joins placement, admission, retry budget and health, and gives engines and
-backend servers their names. Survives bundles: what runs is carried over.
+Combines placement, admission, retry budget and health, and maps engines to
+their names. The state is kept across bundles: the work of running requests is
+carried over.
 """
 
 from __future__ import annotations
@@ -21,19 +22,20 @@
 from irisshelf.routing.owned import placement
 from irisshelf.routing.owned import ranking
 
-_DECODE_WEIGHT = 0.05
+# Weight of the latest answer in the moving average of the answer length.
+_ANSWER_LENGTH_WEIGHT = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Target:
-    """Where one engine (or a plain backend server) is reached.
+    """An engine or a plain backend server that requests can be sent to.
 
     Attributes:
         name: ``SERVER/ENGINE`` for an engine, ``SERVER`` for a plain server.
-        server: The backend server's name.
-        engine: The engine's name on its server; empty for a plain server.
-        data_centre: Where it stands.
-        address: IP number and port.
+        server: Name of the backend server.
+        engine: Name of the engine on its server; empty for a plain server.
+        data_centre: Data centre of the server.
+        address: IP address and port.
     """
 
     name: str
@@ -54,19 +56,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Forward:
-    """The decision to hand a request on to an engine's owner."""
+    """The decision to forward a request to the owner of a target."""
 
     owner: str
     target: Target
 
 
 class ServiceRouter:
-    """Decides for one service.
+    """Routes the requests of one service.
 
     Args:
-        name: The service's name.
-        health_tracker: Health of all backend servers, shared between services.
-        rng: For ties.
+        name: Name of the service.
+        health_tracker: Health of all backend servers, shared by all services.
+        rng: Breaks ties.
     """
 
     def __init__(
@@ -93,18 +95,20 @@
 
     @property
     def targets(self) -> tuple[Target, ...]:
-        """All targets that the bundle lists."""
+        """All targets listed in the bundle."""
         return self._targets
 
     @property
     def placer(self) -> placement.Placer:
-        """The placer in use.
+        """The current placer.
 
         Raises:
-            RuntimeError: No bundle has been taken yet.
+            RuntimeError: No bundle has been applied yet.
         """
         if self._placer is None:
-            raise RuntimeError(f"service {self.name!r} has no bundle yet")
+            raise RuntimeError(
+                f"service {self.name!r} is not configured: no bundle applied"
+            )
         return self._placer
 
     def configure(
@@ -114,11 +118,11 @@
         instances: int,
         now: float,
     ) -> None:
-        """Takes a bundle, or a new number of instances.
+        """Applies a bundle or a new number of instances.
 
         Args:
             bundle: The bundle in force.
-            instances: Live instances of irisshelf.
+            instances: Number of live instances.
             now: Time in seconds.
         """
         cfg = bundle.services[self.name]
@@ -135,22 +139,24 @@
     def set_owners(
         self, owners: ownership.OwnershipMap, *, instance: str
     ) -> None:
-        """Sets which instance owns which target; before, this one owns all.
+        """Sets the owners of the targets.
+
+        Until this is called, this instance owns all targets.
 
         Args:
-            owners: Tells each target's owner.
-            instance: This instance's name.
+            owners: Owner of each target.
+            instance: Name of this instance.
         """
         self._owners = owners
         self._instance = instance
         self._apply_owners()
 
     def forward(self, target: Target) -> Forward:
-        """Returns the decision to ask a target's owner."""
+        """Returns the decision to forward a request to a target's owner."""
         return Forward(owner=self._owner(target.name), target=target)
 
     def owns(self, name: str) -> bool:
-        """Tells whether this instance places on a target."""
+        """Tells whether this instance owns a target."""
         return self._owner(name) == self._instance
 
     def _owner(self, name: str) -> str:
@@ -158,7 +164,7 @@
         return self._instance if owner is None else owner
 
     def target(self, name: str) -> Target | None:
-        """Returns a target by its name."""
+        """Returns the target with a name; None if there is none."""
         index = self._index.get(name)
         return None if index is None else self._targets[index]
 
@@ -170,43 +176,43 @@
         hops_left: int = 0,
         entering: bool = False,
     ) -> Send | Forward | None:
-        """Decides where a request goes.
+        """Decides where to send a request.
 
         Args:
             ctx: The request's context.
-            avoid: Targets that already failed this request.
-            hops_left: How many more instances may hand it on.
+            avoid: Targets that have already failed this request.
+            hops_left: How many more times the request may be forwarded.
             entering: Whether it came from a caller, not from an instance.
 
         Returns:
-            A send to a target, a hand-on to an owner, or None if no target
-            takes work.
+            A send to a target, a forward to an owner, or None if no target is
+            available.
         """
-        avoided = frozenset(
+        avoided_indexes = frozenset(
             self._index[name] for name in avoid if name in self._index
         )
         if entering and hops_left > 0:
-            first = self.placer.preferred_engine(ctx, avoid=avoided)
+            first = self.placer.preferred_engine(ctx, avoid=avoided_indexes)
             if first is None:
                 return None
             target = self._targets[first]
             if not self.owns(target.name):
                 return self.forward(target)
         chosen = self.placer.place(
-            ctx, avoid=avoided, may_forward=hops_left > 0
+            ctx, avoid=avoided_indexes, may_forward=hops_left > 0
         )
         if isinstance(chosen, placement.Forward):
             return self.forward(self._targets[chosen.engine])
         if chosen is None:
-            return self._adopt(ctx, avoided)
+            return self._place_on_unowned(ctx, avoided_indexes)
         target = self._targets[chosen.engine]
         return Send(target=target, placement=chosen, context=ctx)
 
-    def _adopt(
-        self, ctx: context.Context, avoided: frozenset[int]
+    def _place_on_unowned(
+        self, ctx: context.Context, avoided_indexes: frozenset[int]
     ) -> Send | None:
-        """Places on an engine of another owner, as a last resort."""
-        first = self.placer.preferred_engine(ctx, avoid=avoided)
+        """Places a request on an engine of another owner, as a last resort."""
+        first = self.placer.preferred_engine(ctx, avoid=avoided_indexes)
         if first is None:
             return None
         chosen = placement.Placement(
@@ -218,17 +224,17 @@
         return Send(target=target, placement=chosen, context=ctx)
 
     def record_sent(self, send: Send, now: float) -> None:
-        """Counts a request that goes to its target."""
+        """Records that a request is sent to its target."""
         self.placer.record_sent(send.context, send.placement, now)
 
     def record_progress(self, send: Send, work: float, now: float) -> None:
-        """Counts work of a request that is done, or no longer runs."""
+        """Removes work of a request that is done or no longer runs."""
         index = self._index.get(send.target.name)
         if index is not None:
             self.placer.record_end(index, work, now)
 
     def record_answer(self, send: Send, answer_tokens: int) -> None:
-        """Notes a whole answer, whose text its engine has cached."""
+        """Records a complete answer, whose text its engine has cached."""
         index = self._index.get(send.target.name)
         if index is not None:
             self.placer.record_answer(send.context, index, answer_tokens)
@@ -236,14 +242,14 @@
     def record_remote_placement(
         self, ctx: context.Context, target: str, reason: str
     ) -> None:
-        """Notes where another owner placed a chat whose home is here."""
+        """Records where another owner placed a chat whose home is here."""
         index = self._index.get(target)
-        known = reason in {r.value for r in placement.Reason}
-        if index is not None and known:
+        is_known = reason in {r.value for r in placement.Reason}
+        if index is not None and is_known:
             self.placer.record_location(ctx, index, placement.Reason(reason))
 
     def reset_cache(self, name: str) -> None:
-        """Notes that a target has started anew."""
+        """Clears the cache state of a target that has restarted."""
         index = self._index.get(name)
         if index is not None:
             self.placer.reset_cache(index)
@@ -253,38 +259,38 @@
         return self.placer.totals()
 
     def full_targets(self) -> frozenset[int]:
-        """Returns the owned targets, by number, that are at their bound."""
+        """Returns the indexes of owned targets that are at their bound."""
         return self.placer.full_engines()
 
     def refresh(self, name: str) -> None:
-        """Applies the health of a server or an engine to placement."""
-        known = self._index.get(name)
-        indexes = self._by_server.get(name, []) if known is None else [known]
+        """Updates placement after a health change of a server or engine."""
+        index = self._index.get(name)
+        indexes = self._by_server.get(name, []) if index is None else [index]
         for index in indexes:
-            fit = self._health.takes_work(self._targets[index].name)
-            self.placer.set_available(index, fit)
+            available = self._health.takes_work(self._targets[index].name)
+            self.placer.set_available(index, available)
 
     def report(self, target: str, report: load.LoadReport) -> None:
-        """Takes a target's report of its load."""
+        """Applies a target's load report."""
         index = self._index.get(target)
         if index is not None:
             self.placer.report(index, report)
 
     def record_answer_length(self, limit: int, tokens: int) -> None:
-        """Learns from an answer's length what to expect of the next.
+        """Updates the expected answer length for limits of this magnitude.
 
         Args:
-            limit: The caller's limit on the answer's length; 0 for none.
-            tokens: The answer's length.
+            limit: The caller's limit on the answer length; 0 for none.
+            tokens: Length of the answer in tokens.
         """
-        size = limit.bit_length()
-        before = self._expected_decode.get(size, float(tokens))
-        self._expected_decode[size] = before + _DECODE_WEIGHT * (
+        bucket = limit.bit_length()
+        before = self._expected_decode.get(bucket, float(tokens))
+        self._expected_decode[bucket] = before + _ANSWER_LENGTH_WEIGHT * (
             tokens - before
         )
 
     def expected_decode(self, limit: int) -> int:
-        """Returns the tokens to expect of an answer with this limit."""
+        """Returns the expected answer length for a limit, in tokens."""
         default = min(limit, context.DEFAULT_DECODE_TOKENS)
         expected = self._expected_decode.get(
             limit.bit_length(), default or context.DEFAULT_DECODE_TOKENS
@@ -292,7 +298,7 @@
         return max(1, round(min(expected, limit) if limit else expected))
 
     def tick(self, now: float) -> list[admission.Rejection]:
-        """Drops old reports and refuses what has waited too long."""
+        """Drops old load reports and rejects requests past their deadline."""
         self.placer.loads.expire(now)
         return self.admission.expire(now)
 
@@ -327,7 +333,7 @@
     def _carry_over(
         self, before: placement.Placer, old_index: Mapping[str, int], now: float
     ) -> None:
-        """Keeps count of what runs on engines that stay."""
+        """Carries over the work that runs on engines that remain."""
         for name, old in old_index.items():
             new = self._index.get(name)
             own = before.loads.own_work(old)
@@ -345,8 +351,10 @@
         return [self._index[name] for name in owned if name in self._index]
 
     def _limit_admission(self, bundle: schema.Bundle) -> None:
-        slots = len(self._targets) * bundle.services[self.name].engine_slots
-        limit = max(1, -(-slots // self._instances))
+        total_slots = (
+            len(self._targets) * bundle.services[self.name].engine_slots
+        )
+        limit = max(1, -(-total_slots // self._instances))
         shares = {name: team.share for name, team in bundle.teams.items()}
         self.admission.configure(limit=limit, shares=shares)
 
--- a/irisshelf/routing/owned/stream.py
+++ b/irisshelf/routing/owned/stream.py
@@ -1,8 +1,8 @@
-"""Checks that a stream from an engine is whole and the right one.
+"""Checks that a stream from an engine is complete and belongs to the attempt.
 
-Engines label each server-sent event ``id: ATTEMPT:OFFSET``. A stream is whole
-if every event carries our attempt id, offsets follow one another, and the end
-mark comes last. Anything else ends the attempt.
+Engines label each server-sent event with ``id: ATTEMPT:OFFSET``. A stream is
+complete if every event has the id of the attempt, the offsets are consecutive
+and the end marker comes last. Otherwise the attempt fails.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What one event is."""
+    """Classification of one event."""
 
     CHUNK = "chunk"
     END = "end"
@@ -39,11 +39,11 @@
 
 
 class StreamChecker:
-    r"""Follows one attempt's stream.
+    r"""Checks the events of one attempt's stream in order.
 
     Args:
         attempt_id: The id sent with the attempt.
-        next_offset: Offset expected first; above 0 after a resume.
+        next_offset: First expected offset; above 0 if the stream is resumed.
 
     Example:
         >>> StreamChecker(attempt_id="a").check(b"id: a:0\ndata: x\n\n")
@@ -56,11 +56,11 @@
         self.ended = False
 
     def check(self, event: bytes) -> Verdict:
-        """Judges one event and, if it is a chunk, moves on."""
+        """Classifies an event; a chunk or end advances the expected offset."""
         if self.ended:
             return Verdict.AFTER_END
         if not event.startswith(self._prefix):
-            return _foreign(event)
+            return _classify_unlabelled(event)
         line_end = event.find(_LINE_END, len(self._prefix))
         offset_text = event[len(self._prefix) : line_end]
         if not offset_text.isdigit() or len(offset_text) > 18:
@@ -80,12 +80,12 @@
 
 
 def payload(event: bytes) -> bytes:
-    """Returns the data of an event that was judged a chunk."""
+    """Returns the data of an event that was classified as a chunk."""
     start = event.find(_DATA)
     return event[start + len(_DATA) :].strip()
 
 
-def _foreign(event: bytes) -> Verdict:
+def _classify_unlabelled(event: bytes) -> Verdict:
     if event.startswith(_KEEP_ALIVE):
         return Verdict.KEEP_ALIVE
     if event.startswith(b"id: "):
--- a/irisshelf/routing/popularity.py
+++ b/irisshelf/routing/popularity.py
@@ -1,4 +1,4 @@
-"""How much of the load each shared history brings, in bounded memory."""
+"""Share of the total load caused by each key, in bounded memory."""
 
 from __future__ import annotations
 
@@ -6,19 +6,20 @@
 
 HALF_LIFE_S = 60.0
 MAX_KEYS = 512
-# Time constants after which weights are scaled back, long before they overflow.
+# Weights grow by e for each time constant (half-life / ln 2). Rescaling after
+# 40 of them keeps the weights far below the overflow of a float.
 _RESCALE_AFTER = 40
 
 
 class Popularity:
-    """Decayed load by key; the least loaded keys are forgotten.
+    """Exponentially decayed load by key; evicts the keys with the least load.
 
-    Old weights are not decayed one by one: new ones are added scaled up by
-    the time that has passed, which keeps an update constant in cost.
+    Existing weights are not decayed individually. New weights are scaled up by
+    the elapsed time instead, so that an update takes constant time.
 
     Args:
-        half_life_s: Load counts half after this time.
-        max_keys: Keys remembered.
+        half_life_s: Time after which recorded load counts half.
+        max_keys: Number of keys kept.
     """
 
     def __init__(
@@ -31,7 +32,7 @@
         self._origin_s = -math.inf
 
     def add(self, key: int | str, work: float, now: float) -> None:
-        """Counts work; key 0 or "" is none and counts in the total only."""
+        """Adds work of a key; for key 0 or "" only the total is increased."""
         if (now - self._origin_s) * self._rate > _RESCALE_AFTER:
             self._rescale(now)
         scaled = work * self._scale(now)
@@ -39,15 +40,15 @@
         if key:
             self._loads[key] = self._loads.get(key, 0.0) + scaled
             if len(self._loads) > 2 * self._max_keys:
-                self._forget()
+                self._evict()
 
     @property
     def key_count(self) -> int:
-        """How many keys are remembered."""
+        """Number of keys kept."""
         return len(self._loads)
 
     def share(self, key: int | str) -> float:
-        """Returns the key's share of all load, 0 to 1."""
+        """Returns the key's share of the total load, from 0 to 1."""
         if not self._total:
             return 0.0
         return self._loads.get(key, 0.0) / self._total
@@ -56,11 +57,13 @@
         return math.exp((now - self._origin_s) * self._rate)
 
     def _rescale(self, now: float) -> None:
-        left = math.exp((self._origin_s - now) * self._rate)
-        self._loads = {key: load * left for key, load in self._loads.items()}
-        self._total *= left
+        remaining = math.exp((self._origin_s - now) * self._rate)
+        self._loads = {
+            key: load * remaining for key, load in self._loads.items()
+        }
+        self._total *= remaining
         self._origin_s = now
 
-    def _forget(self) -> None:
-        ranked = sorted(self._loads.items(), key=lambda kv: -kv[1])
+    def _evict(self) -> None:
+        ranked = sorted(self._loads.items(), key=lambda item: -item[1])
         self._loads = dict(ranked[: self._max_keys])
