--- a/irisshelf/gateway/__init__.py
+++ b/irisshelf/gateway/__init__.py
@@ -1,12 +1,12 @@
-"""The entry instance on a shared platform: callers in, backend servers out.
+"""Entry instance on a shared platform, between callers and backend servers.
 
-Input and output only; decisions are in ``routing`` and ``catalog``. From the
-bottom up, each importing only what stands before it:
+This package does I/O only; decisions are made in ``routing`` and ``catalog``.
+Its layers, from the bottom up, import only from the ones before them:
 
 - ``settings``, ``messages``, ``dialect``, ``metrics``, ``listener``.
-- ``servers``: what is known of backend servers, and connections to them.
-- ``instance``: the state that the rooms below share.
-- ``knowledge``: what the store and other instances tell.
-- ``requests``: callers' requests and their answers.
-- ``daemon``: puts all together.
+- ``servers``: state of backend servers, and connections to them.
+- ``instance``: state shared by the layers that follow.
+- ``knowledge``: data received from the store and from other instances.
+- ``requests``: callers' requests and their responses.
+- ``daemon``: assembles and runs the instance.
 """
--- a/irisshelf/gateway/listener.py
+++ b/irisshelf/gateway/listener.py
@@ -1,9 +1,10 @@
-"""Listens for connections and serves each in a greenlet of its own.
+"""Accepts connections and serves each of them in its own greenlet.
 
-Connections are bounded below the process' descriptors: once those run out no
-new connection is accepted, and callers hang that another instance would serve.
-At the bound the connection that has rested longest makes room; where all are
-busy, a new one is told so at once.
+The number of connections is limited below the process's file descriptor limit.
+Without file descriptors no connection can be accepted, and callers would hang
+although another instance could serve them. At the limit, an idle connection is
+closed, the one that has been open longest; if all are busy, the new connection
+is refused at once.
 """
 
 from __future__ import annotations
@@ -15,29 +16,31 @@
 from gevent import socket
 
 from irisshelf.observe import decision_log
-from irisshelf.transport import server as caller_side
+from irisshelf.transport import server as caller_server
 
 _BACKLOG = 512
 
 
 class Listener:
-    """Serves one address.
+    """Accepts and serves connections on one address.
 
     Args:
-        address: IP number and port.
-        limits: Tells the limits on callers now.
-        handle: Answers a request.
-        refuse: Builds answers to what cannot be read.
-        log: Takes what goes wrong.
-        most: Connections that are open at a time; None for any number.
+        address: IP address and port.
+        limits: Returns the current limits on callers.
+        handle: Handles a request.
+        refuse: Builds the response to a request that cannot be parsed.
+        log: Log for errors.
+        most: Maximum number of open connections; None for no limit.
     """
 
     def __init__(
         self,
         *,
         address: str,
-        limits: Callable[[], caller_side.Limits],
-        handle: Callable[[caller_side.Request, caller_side.Connection], None],
+        limits: Callable[[], caller_server.Limits],
+        handle: Callable[
+            [caller_server.Request, caller_server.Connection], None
+        ],
         refuse: Callable[[int, str], tuple[list[tuple[bytes, bytes]], bytes]],
         log: decision_log.DecisionLog,
         most: int | None = None,
@@ -47,67 +50,74 @@
         self._handle = handle
         self._refuse = refuse
         self._log = log
-        self._most = most
-        # The one that has been open longest first.
-        self._conns: dict[caller_side.Connection, None] = {}
+        self._max_connections = most
+        # In the order in which they were opened.
+        self._conns: dict[caller_server.Connection, None] = {}
         self._server = server.StreamServer(
             (host, int(port)), self._serve, backlog=_BACKLOG
         )
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port of the listening socket."""
         return self._server.server_port
 
     @property
     def busy(self) -> int:
-        """Connections that have a request."""
+        """Number of connections with a request in progress."""
         return sum(not conn.idle for conn in self._conns)
 
     def start(self) -> None:
-        """Begins to listen.
+        """Starts to listen.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The address cannot be bound.
         """
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Takes no new connections; those that are open go on."""
+        """Stops accepting connections; open ones are kept."""
         self._server.close()
 
     def close_idle(self) -> None:
-        """Closes connections that are at rest."""
+        """Closes idle connections."""
         for conn in list(self._conns):
             conn.close_if_idle()
 
     def _serve(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        conn = caller_side.Connection(
+        conn = caller_server.Connection(
             sock=sock,
             limits=self._limits,
             handle=self._handle,
             refuse=self._refuse,
         )
         self._conns[conn] = None
-        if self._most is not None and len(self._conns) > self._most:
-            self._make_room(conn)
+        if (
+            self._max_connections is not None
+            and len(self._conns) > self._max_connections
+        ):
+            self._close_one(conn)
         try:
             conn.serve()
         except gevent.GreenletExit:
             raise
         except Exception as exc:
-            # A fault of ours must not end the instance; its place is told.
+            # An internal error must not stop the instance. Its location is
+            # logged.
             self._log.problem(
                 "connection_failed",
                 peer=f"{peer[0]}:{peer[1]}",
                 error=repr(exc),
-                place=_place(exc),
+                place=_error_location(exc),
             )
         finally:
             self._conns.pop(conn, None)
 
-    def _make_room(self, newest: caller_side.Connection) -> None:
-        """Closes a connection at rest, or the newest after its answer."""
+    def _close_one(self, newest: caller_server.Connection) -> None:
+        """Closes the oldest idle connection.
+
+        If all are busy, the newest connection is refused instead.
+        """
         for conn in self._conns:
             if conn.idle and conn is not newest:
                 conn.close_if_idle()
@@ -115,8 +125,8 @@
         newest.turn_down()
 
 
-def _place(exc: BaseException) -> str:
-    """Names the innermost line that an error came from."""
+def _error_location(exc: BaseException) -> str:
+    """Returns the innermost code location of an exception's traceback."""
     trace = exc.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
--- a/irisshelf/gateway/messages.py
+++ b/irisshelf/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between the parts of an entry instance."""
+"""Messages exchanged between the parts of an entry instance."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class InboundRequest:
-    """A caller's request as it came in.
+    """A caller's request as received.
 
     Attributes:
-        method: Such as ``POST``.
+        method: HTTP method, such as ``POST``.
         target: Path and query, unchanged.
         headers: Names and values, unchanged.
-        body: The whole body, unframed.
-        has_body: Whether the caller sent a body, though it may be empty.
-        arrived_s: When the head was whole, monotonic seconds.
-        kept: Whether it came on a connection that had been used before.
+        body: The complete body, without framing.
+        has_body: Whether the caller sent a body, which may be empty.
+        arrived_s: When the head was complete, in monotonic seconds.
+        kept: Whether it was received on a reused connection.
     """
 
     method: str
@@ -35,16 +35,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestHead:
-    """What a request's headers say.
+    """The parsed head of a request.
 
     Attributes:
         request_id: The caller's id of this attempt.
-        host: The host asked for.
-        path: The path without a query.
-        key: The caller's key; empty if there is none.
-        deadline_s: Seconds that the caller waits; None if not said.
+        host: The requested host.
+        path: The path without the query.
+        key: The caller's API key; empty if there is none.
+        deadline_s: How long the caller waits, in seconds; None if not given.
         prompt: Parts of the prompt, for model engines.
-        last_event_id: The last event that the caller has of a stream.
+        last_event_id: Id of the last stream event that the caller received.
     """
 
     request_id: str
@@ -61,15 +61,15 @@
     """A request that has been admitted.
 
     Attributes:
-        inbound: As it came in.
-        head: What its headers say.
-        route: Its route.
-        service: The service that takes it.
-        team: The team that its key belongs to.
-        priority: Its rank.
-        version: Version of the configuration that admitted it.
-        until_s: When it has to be answered, monotonic seconds.
-        regions: Where it may be served; None for anywhere.
+        inbound: The request as received.
+        head: Its parsed head.
+        route: The matching route.
+        service: The service that handles it.
+        team: The team that its API key belongs to.
+        priority: Its priority.
+        version: Version of the configuration under which it was admitted.
+        deadline_s: When it must be completed, in monotonic seconds.
+        regions: Regions in which it may be served; None for any region.
     """
 
     inbound: InboundRequest
@@ -85,16 +85,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardedContext:
-    """What a backend server is told beside the caller's own headers.
+    """Data sent to a backend server in addition to the caller's headers.
 
     Attributes:
-        entry_id: The listed id of the server that it is meant for.
-        team: The key's team; empty on public routes.
-        left_s: What is left of the caller's time; None if not known.
-        priority: Its rank, 0 first; None to say nothing.
-        cache_source: Address of a server that holds the prompt's shared
-            parts; empty for none.
-        last_event_id: Events after this one are wanted.
+        entry_id: Id of the intended server in the server list.
+        team: The team of the API key; empty on public routes.
+        left_s: Time left until the deadline; None if there is none.
+        priority: The priority, 0 is the highest; None to omit it.
+        cache_source: Address of a server that has the shared parts of the
+            prompt in its cache; empty if there is none.
+        last_event_id: Id of the event after which to resume the stream.
     """
 
     entry_id: str
@@ -107,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Load:
-    """A server's load, as it says itself."""
+    """Load reported by a backend server."""
 
     running: int
     waiting: int
@@ -116,17 +116,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServerReport:
-    """What a backend server says of itself in an answer's head.
+    """The status that a backend server reports in the head of a response.
 
     Attributes:
-        load: Its load, if told.
-        leaving: Whether it is about to end and wants nothing more.
-        rest_s: For how long it wants nothing from this instance; 0 if it does
-            not say so.
-        absent: Whether the address belongs to another server, whose report
-            the rest of this is.
-        keep_alive_s: How long it keeps an idle connection, if told.
-        unreadable: Names of headers whose values say nothing.
+        load: Its load; None if not reported.
+        leaving: Whether it is shutting down and takes no more requests.
+        rest_s: For how long it asks this instance to send no requests; 0 if it
+            does not ask for that.
+        absent: Whether the address belongs to a different server. The other
+            fields are then the report of that server.
+        keep_alive_s: How long it keeps idle connections; None if not reported.
+        unreadable: Names of headers with invalid values.
     """
 
     load: Load | None = None
@@ -139,16 +139,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerHead:
-    """The head of a backend server's answer, understood.
+    """The parsed head of a backend server's response.
 
     Attributes:
         status: HTTP status.
-        headers: What goes to the caller.
-        request_id: Whose answer it is; empty if not said.
-        signed: Whether the answer bears the server's signature.
-        not_run: Whether the server says that the request did not run.
-        encoded: Whether the body is not as the server made it.
-        report: What the server says of itself.
+        headers: Headers to pass to the caller.
+        request_id: Id of the request that it answers; empty if not given.
+        signed: Whether the response has the server's signature.
+        not_run: Whether the server states that the request did not run.
+        encoded: Whether the body was encoded on its way from the server.
+        report: The server's report about itself.
     """
 
     status: int
@@ -161,18 +161,18 @@
 
     @property
     def success(self) -> bool:
-        """Whether it is a success that may be passed on."""
+        """Whether it is a successful response that may be passed on."""
         return 200 <= self.status < 300 and self.signed and not self.encoded
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CompleteAnswer:
-    """A whole answer to the caller.
+    """A complete response to the caller.
 
     Attributes:
         status: HTTP status.
-        headers: Headers but for the framing.
-        body: The body.
+        headers: Headers without framing.
+        body: The complete body.
     """
 
     status: int
--- a/irisshelf/gateway/metrics.py
+++ b/irisshelf/gateway/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """All metrics, in a registry of their own."""
+    """All metrics of an instance, in a separate registry."""
 
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
@@ -82,7 +82,7 @@
         )
 
     def expose(self) -> bytes:
-        """Returns all metrics in Prometheus' text format."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def _counter(
--- a/irisshelf/gateway/settings.py
+++ b/irisshelf/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry instance: a JSON file, checked by a schema."""
+"""Settings of an entry instance: a JSON file, validated by a schema."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 _NotNegative = Annotated[float, msgspec.Meta(ge=0)]
 _Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 _Count = Annotated[int, msgspec.Meta(ge=0)]
-_PORTS = 65536
+_PORT_COUNT = 65536
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -25,8 +25,8 @@
 
     Attributes:
         front: For callers.
-        ready: For the balancer's question.
-        metrics: For metrics.
+        ready: For the readiness checks of the load balancer.
+        metrics: For the metrics endpoint.
         peers: For other instances.
     """
 
@@ -38,31 +38,33 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Bounds:
-    """What the operators' rules allow, in milliseconds unless named.
+    """Limits required by the operators; names end in the unit.
 
     Attributes:
-        catalog_in_force_ms: From the store's acceptance of a configuration
-            until it is in force.
-        key_withdrawn_ms: From the acceptance of a key's withdrawal until no
-            request may run under it.
-        keys_strict: Whether that binds an instance that has lost the store
-            too: it then refuses requests with keys rather than run one under
-            a key that may have been withdrawn.
-        keys_unconfirmed_s: Where it does not, how long keys hold without the
-            store's answers. Outages of the store last seconds; five minutes
-            outlast them, and still end what a withdrawn key can do at an
-            instance that is cut off for good.
-        server_leaving_ms: From the acceptance of a server's leaving until no
-            request may reach it.
-        evacuated_ms: From the acceptance of a data centre's evacuation until
-            no request may reach its servers; None where there are none.
-        stop_s: From the signal to stop until the process is killed.
-        cold_overage: What a cold server may get in any second, of all
-            instances, as a multiple of what it bears.
-        cold_slack: Requests beside those.
-        retry_share: Retries a service may get for each request.
-        retry_slack: Retries beside those, of all instances, in a window.
-        retry_window_s: Window that retries are counted in.
+        catalog_in_force_ms: Time from the store's acceptance of a configuration
+            until it must be in force.
+        key_withdrawn_ms: Time from the acceptance of a key's withdrawal until
+            no request may run with this key.
+        keys_strict: Whether ``key_withdrawn_ms`` also applies to an instance
+            that cannot reach the store. Such an instance then refuses requests
+            with keys, since their keys may have been withdrawn.
+        keys_unconfirmed_s: If ``keys_strict`` is off, how long keys stay valid
+            without a response of the store. Store outages last seconds, so
+            that the default of five minutes outlasts them. It still limits how
+            long a withdrawn key works on an instance that has permanently lost
+            the store.
+        server_leaving_ms: Time from the acceptance of a server's leaving until
+            no request may reach it.
+        evacuated_ms: Time from the acceptance of a data centre's evacuation
+            until no request may reach its servers; None if evacuations are not
+            used.
+        stop_s: Time from the stop signal until the process is killed.
+        cold_overage: Requests that all instances together may send to a cold
+            server in any second, as a multiple of its capacity.
+        cold_slack: Additional requests for a cold server.
+        retry_share: Retries of a service allowed per request.
+        retry_slack: Additional retries in a window, of all instances together.
+        retry_window_s: Length of the window for counting retries.
     """
 
     catalog_in_force_ms: _Positive = 2000.0
@@ -84,21 +86,24 @@
     """All settings.
 
     Attributes:
-        instance: This instance's name.
-        data_centre: Where it stands.
+        instance: Name of this instance.
+        data_centre: Data centre of this instance.
         data_centres: Names of all data centres.
-        regions: The region of each data centre; one that is not named here is
-            in none.
+        regions: Region of each data centre; data centres that are not listed
+            belong to no region.
         listen: Addresses to listen on.
-        store: The shared store's address.
-        seeds: Addresses of other instances, some of which may be there; without
-            any, the instance is the only one until it hears of another.
-        bounds: What the operators' rules allow.
-        log_lines_per_s: Most log lines about requests in a second.
-        max_requests: Most requests in flight; more are refused.
-        link_mbps: What the instance's link bears, in Mbit/s; 0 if not known.
-        descriptors: Files and sockets that the process may open.
-        policy: Mechanisms that are switched on.
+        store: Address of the shared store.
+        seeds: Addresses of other instances, for discovery; not all of them need
+            to be running. Without seeds, the instance assumes that it is the
+            only one until another instance contacts it.
+        bounds: Limits required by the operators.
+        log_lines_per_s: Maximum rate of log lines about requests.
+        max_requests: Maximum number of requests in flight; further requests are
+            refused.
+        link_mbps: Bandwidth of the instance's network link in Mbit/s; 0 if it
+            is not known.
+        descriptors: Maximum number of open file descriptors of the process.
+        policy: Enabled mechanisms.
     """
 
     instance: str
@@ -117,28 +122,29 @@
 
 
 def load(path: pathlib.Path) -> result.Result[Settings, str]:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Returns:
-        The settings, or a text that names field, value and what is allowed.
+        The settings, or a message with the field, its value and the allowed
+        values.
     """
     try:
         data = path.read_bytes()
     except OSError as exc:
-        return result.Err(f"cannot read settings {str(path)!r}: {exc}")
+        return result.Err(f"cannot read settings file {str(path)!r}: {exc}")
     return decode(data)
 
 
 def decode(data: bytes) -> result.Result[Settings, str]:
-    """Checks settings; see ``load``."""
+    """Validates settings; see ``load``."""
     try:
         document = msgspec.json.decode(data)
     except msgspec.DecodeError as exc:
-        return result.Err(f"settings are no JSON: {exc}")
+        return result.Err(f"settings are not valid JSON: {exc}")
     try:
         cfg = msgspec.convert(document, Settings)
     except msgspec.ValidationError as exc:
-        return result.Err(_explain(document, str(exc)))
+        return result.Err(_describe_error(document, str(exc)))
     for name, address in _addresses(cfg):
         problem = _check_address(address)
         if problem:
@@ -148,8 +154,8 @@
     return result.Ok(cfg)
 
 
-def _explain(document: object, text: str) -> str:
-    """Adds the value found to msgspec's text, which names field and rule."""
+def _describe_error(document: object, text: str) -> str:
+    """Adds the invalid value to msgspec's message about field and rule."""
     allowed, _, path = text.partition(" - at `$")
     value = document
     for name in path.rstrip("`").strip(".").split("."):
@@ -176,10 +182,11 @@
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        return "an IP number, a colon and a port"
-    # To Python a superscript is a digit, and thousands of digits no number.
-    short = len(port) <= len(str(_PORTS))
-    decimal = short and port.isascii() and port.isdigit()
-    if not decimal or not 0 <= int(port) < _PORTS:
-        return f"a port from 0 to {_PORTS - 1}"
+        return "an IP address, a colon and a port"
+    # ``str.isdigit`` accepts superscripts, and ``int`` rejects strings of
+    # thousands of digits, so that characters and length are checked first.
+    is_short = len(port) <= len(str(_PORT_COUNT))
+    is_decimal = is_short and port.isascii() and port.isdigit()
+    if not is_decimal or not 0 <= int(port) < _PORT_COUNT:
+        return f"a port from 0 to {_PORT_COUNT - 1}"
     return ""
--- a/irisshelf/tests/test_any_settings.py
+++ b/irisshelf/tests/test_any_settings.py
@@ -99,7 +99,7 @@
         _sound(found.ok_value)
     else:
         named = field[0] in found.err_value or "allowed" in found.err_value
-        assert named or "no JSON" in found.err_value
+        assert named or "not valid JSON" in found.err_value
 
 
 _HEADERS = strategies.lists(
--- a/irisshelf/tests/test_gateway_settings.py
+++ b/irisshelf/tests/test_gateway_settings.py
@@ -45,7 +45,7 @@
             "0",
             "> 0",
         ),
-        ({"store": "here"}, "store", "here", "an IP number"),
+        ({"store": "here"}, "store", "here", "an IP address"),
         ({"store": "10.0.0.1:99999"}, "store", "99999", "a port"),
         ({"max_requests": "many"}, "max_requests", "many", "int"),
     ],
