--- a/irisshelf/gateway/servers/crashes.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -16,7 +16,7 @@
 from irisshelf.catalog import directory
 from irisshelf.gateway import messages
 from irisshelf.gateway import metrics
-from irisshelf.gateway.servers import reach
+from irisshelf.gateway.servers import reachability
 from irisshelf.gateway.servers import servers as servers_module
 from irisshelf.observe import decision_log
 from irisshelf.routing import crash_suspects
@@ -30,7 +30,7 @@
 _RECENT_BODY_BYTES = 4096
 # A server that has ended is not asked again so soon: none is back by then. One
 # that listens may end the next moment.
-_ENDED_S = 1.0
+_EXIT_KNOWN_S = 1.0
 
 # A server that has gone may have ended under a suspect request at another
 # instance as long as the message about it, which is sent twice, may take.
@@ -40,14 +40,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
+class SuspectPlacement:
     """Where a suspect request may go; see ``DesignatedServer``."""
 
     server: directory.BackendServer | None
     uncertain: bool
 
 
-class Crashes:
+class CrashTracker:
     """Knows contents that servers ended under, and tells of them.
 
     Args:
@@ -59,8 +59,8 @@
 
     Attributes:
         suspects: What is known of contents.
-        on_end: Told of an end that this instance saw, to tell the others.
-        on_good: Told of a content that is cleared, to tell the others.
+        on_crash: Told of an end that this instance saw, to tell the others.
+        on_clear: Told of a content that is cleared, to tell the others.
     """
 
     def __init__(
@@ -73,10 +73,10 @@
         now: Callable[[], float],
     ):
         self.suspects = crash_suspects.CrashSuspects()
-        self.on_end: Callable[[bytes, crash_suspects.ServerCrash], None] = (
-            _tell_nobody
+        self.on_crash: Callable[[bytes, crash_suspects.ServerCrash], None] = (
+            _no_peers
         )
-        self.on_good: Callable[[bytes], None] = _tell_nobody
+        self.on_clear: Callable[[bytes], None] = _no_peers
         self._servers = servers
         self._listed = listed
         self._log = log
@@ -86,8 +86,8 @@
             maxlen=_RECENT
         )
         # By life: when it was found to have ended.
-        self._ended_s: dict[str, float] = {}
-        self._asking: dict[str, gevent.Greenlet] = {}
+        self._exited_s: dict[str, float] = {}
+        self._probes: dict[str, gevent.Greenlet] = {}
 
     def verdict(self, job: messages.Job) -> crash_suspects.Verdict | None:
         """Returns what is thought of a request; None if it is clear.
@@ -101,12 +101,12 @@
         found = self.suspects.judge(_content(job), self._now())
         return None if found.stage is crash_suspects.Stage.CLEAR else found
 
-    def may_go_to(
+    def place_suspect(
         self,
         job: messages.Job,
         verdict: crash_suspects.Verdict,
         avoid: set[str],
-    ) -> Place:
+    ) -> SuspectPlacement:
         """Returns the one server that a suspect request may go to, if any."""
         known = {
             server.server_id: server
@@ -117,13 +117,13 @@
         gone = {
             name
             for name, server in known.items()
-            if self._servers.ended_for_s(server) <= _PRESUMED_S
+            if self._servers.exited_for_s(server) <= _PRESUMED_S
         }
         fit = [
             name
             for name, server in known.items()
             if name in gone
-            or (name not in avoid and not self._servers.out_of_reach(server))
+            or (name not in avoid and not self._servers.is_unreachable(server))
         ]
         keys = {end.server_key for end in verdict.crashes}
         found = crash_suspects.designate_server(
@@ -134,25 +134,29 @@
             crash_count=len(verdict.crashes),
         )
         server = None if found.server is None else known[found.server]
-        return Place(server=server, uncertain=found.uncertain)
+        return SuspectPlacement(server=server, uncertain=found.uncertain)
 
-    def broke(self, job: messages.Job, server: directory.BackendServer) -> bool:
+    def record_disconnect(
+        self, job: messages.Job, server: directory.BackendServer
+    ) -> bool:
         """Takes that a connection broke before anything of an answer came.
 
         Returns:
             Whether the request looks as if it had ended the server.
         """
-        if not self.has_ended(server) or _asked(job) in self._recent:
+        if not self.has_exited(server) or _asked(job) in self._recent:
             return False
         end = crash_suspects.ServerCrash(
             server_key=directory.key_of(server.server_id), at_s=self._now()
         )
         content = _content(job)
-        if self._take_end(content, end, job.head.request_id, server.server_id):
-            self.on_end(content, end)
+        if self._apply_crash(
+            content, end, job.head.request_id, server.server_id
+        ):
+            self.on_crash(content, end)
         return True
 
-    def served(self, job: messages.Job) -> None:
+    def record_success(self, job: messages.Job) -> None:
         """Takes that a request was answered well."""
         if len(job.inbound.body) <= _RECENT_BODY_BYTES:
             self._recent.append(_asked(job))
@@ -160,9 +164,9 @@
             return
         content = _content(job)
         if self._clear(content, job.head.request_id):
-            self.on_good(content)
+            self.on_clear(content)
 
-    def refused(
+    def record_refusal(
         self, job: messages.Job, verdict: crash_suspects.Verdict
     ) -> None:
         """Takes that a request is refused for what servers ended under."""
@@ -175,7 +179,7 @@
             barred_for_s=round(verdict.barred_for_s, 1),
         )
 
-    def heard_end(
+    def receive_crash(
         self, content: bytes, end: crash_suspects.ServerCrash
     ) -> None:
         """Takes an end that another instance has seen, if it is confirmed here.
@@ -185,23 +189,23 @@
         """
         server = self._servers.by_key(end.server_key)
         if server is None:
-            if self._servers.left_lately(end.server_key):
-                self._take_heard(content, end, "")
+            if self._servers.recently_delisted(end.server_key):
+                self._apply_reported_crash(content, end, "")
             return
-        if self.has_ended(server):
-            self._take_heard(content, end, server.server_id)
+        if self.has_exited(server):
+            self._apply_reported_crash(content, end, server.server_id)
 
-    def heard_good(self, content: bytes) -> None:
+    def receive_clear(self, content: bytes) -> None:
         """Takes that another instance has a good answer to a content."""
         self._clear(content, "")
 
-    def caught_up(
+    def merge_crash(
         self, content: bytes, end: crash_suspects.ServerCrash
     ) -> None:
         """Takes what a neighbour has answered to this instance's question."""
-        self._take_end(content, end, "", "")
+        self._apply_crash(content, end, "", "")
 
-    def has_ended(self, server: directory.BackendServer) -> bool:
+    def has_exited(self, server: directory.BackendServer) -> bool:
         """Tells whether a listed server's process has ended.
 
         A reset alone says nothing: connections are reset, and die while an
@@ -215,11 +219,14 @@
         if listed.server_id != server.server_id:
             return True
         name = server.server_id
-        if self._now() - self._ended_s.get(name, float("-inf")) < _ENDED_S:
+        if (
+            self._now() - self._exited_s.get(name, float("-inf"))
+            < _EXIT_KNOWN_S
+        ):
             return True
-        if name not in self._asking:
-            self._asking[name] = gevent.spawn(self._ask, server)
-        return self._asking[name].get()
+        if name not in self._probes:
+            self._probes[name] = gevent.spawn(self._probe, server)
+        return self._probes[name].get()
 
     def _may_be_suspect(self, job: messages.Job) -> bool:
         if not self.suspects:
@@ -230,33 +237,35 @@
         )
         return self.suspects.has_prefix(shape)
 
-    def _ask(self, server: directory.BackendServer) -> bool:
+    def _probe(self, server: directory.BackendServer) -> bool:
         try:
-            ended = self._refuses(server)
+            ended = self._is_refusing(server)
         finally:
-            del self._asking[server.server_id]
+            del self._probes[server.server_id]
         if ended:
             now = self._now()
-            self._ended_s = {
-                name: ended_s
-                for name, ended_s in self._ended_s.items()
-                if now - ended_s < _ENDED_S
+            self._exited_s = {
+                name: exited_s
+                for name, exited_s in self._exited_s.items()
+                if now - exited_s < _EXIT_KNOWN_S
             }
-            self._ended_s[server.server_id] = now
+            self._exited_s[server.server_id] = now
         return ended
 
-    def _refuses(self, server: directory.BackendServer) -> bool:
+    def _is_refusing(self, server: directory.BackendServer) -> bool:
         """Tells whether nobody listens at a server's address."""
         self._metrics.connects.labels(server.service).inc()
         try:
-            conn = client.connect(server.address, timeout_s=reach.CONNECT_S)
+            conn = client.connect(
+                server.address, timeout_s=reachability.CONNECT_TIMEOUT_S
+            )
         except errors.ConnectError as exc:
-            self._servers.unreachable(server, exc, "")
+            self._servers.record_unreachable(server, exc, "")
             return not exc.silent
-        self._servers.links.put_new(server, conn)
+        self._servers.connection_pool.add_idle(server, conn)
         return False
 
-    def _take_heard(
+    def _apply_reported_crash(
         self, content: bytes, end: crash_suspects.ServerCrash, name: str
     ) -> None:
         known = any(
@@ -264,11 +273,11 @@
             for a in self._recent
         )
         if known:
-            self.on_good(content)
+            self.on_clear(content)
             return
-        self._take_end(content, end, "", name)
+        self._apply_crash(content, end, "", name)
 
-    def _take_end(
+    def _apply_crash(
         self,
         content: bytes,
         end: crash_suspects.ServerCrash,
@@ -309,5 +318,5 @@
     return crash_suspects.request_fingerprint(*_asked(job))
 
 
-def _tell_nobody(*facts: object) -> None:
+def _no_peers(*facts: object) -> None:
     """Stands in until there are others to tell."""
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -56,7 +56,7 @@
     world = make_world(servers=8, data_centres=("a", "b", "b", "b", "b", "b"))
     first, *others = world.entries
     for other in others[1:]:
-        first.roster.left(other.member.name)
+        first.roster.remove(other.member.name)
     _end_under(world, 1)
     world.wait(lambda: _stages(world) == ["suspect"] * 6)
 
@@ -130,16 +130,16 @@
     )
     server = fleet.inst.directory.of("crew")[0]
     fleet.plain[0].close()
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
 
 
 def test_a_server_that_has_just_been_reached_may_end(fleet):
     """A reset, and the end of the same server right after it."""
     (one,) = fleet.plain[:1]
     server = fleet.inst.directory.get(one.server_id)
-    assert not fleet.inst.crashes.has_ended(server)
+    assert not fleet.inst.crashes.has_exited(server)
     one.close()
-    assert fleet.inst.crashes.has_ended(server)
+    assert fleet.inst.crashes.has_exited(server)
 
 
 def test_a_stream_under_way_is_not_blamed(fleet):
@@ -167,11 +167,11 @@
             server_key=directory.key_of(one.server_id),
             at_s=boottime.now(),
         )
-        fleet.inst.crashes.heard_end(_CONTENT, end)
+        fleet.inst.crashes.receive_crash(_CONTENT, end)
     stranger = crash_suspects.ServerCrash(
         server_key=b"stray", at_s=boottime.now()
     )
-    fleet.inst.crashes.heard_end(_CONTENT, stranger)
+    fleet.inst.crashes.receive_crash(_CONTENT, stranger)
     now = boottime.now()
     verdict = fleet.inst.crashes.suspects.judge(_CONTENT, now)
     assert len(verdict.crashes) == ended
@@ -184,7 +184,7 @@
     end = crash_suspects.ServerCrash(
         server_key=directory.key_of(gone.server_id), at_s=boottime.now()
     )
-    fleet.inst.crashes.heard_end(_CONTENT, end)
+    fleet.inst.crashes.receive_crash(_CONTENT, end)
     assert _stages(fleet)[0] == "suspect"
 
 
@@ -195,10 +195,10 @@
         data_centre="a",
         store=fleet.store.address,
         bounds=settings.Bounds(),
-        switched=policy.ALL_ON,
+        switched=policy.DEFAULT,
     )
     fleet.wait(lambda: _stages(fleet) == ["barred"] * 4)
-    answers = [None, fleet.entries[1].crash_gossip.all()]
+    answers = [None, fleet.entries[1].crash_gossip.snapshot()]
     fresh.crash_gossip.catch_up(lambda: answers.pop(0))
     fleet.entries.append(fresh)
     assert _stages(fleet) == ["barred"] * 5
--- a/irisshelf/tests/test_outside_bytes.py
+++ b/irisshelf/tests/test_untrusted_input.py
@@ -22,7 +22,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import position
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import messages
 from irisshelf.gateway.knowledge import crash_gossip
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
@@ -166,7 +166,7 @@
     """
     listed = server_list.ServerList(inst=world.inst)
     server = world.plain[0]
-    listed.store_lost()
+    listed.on_store_lost()
     rows = [feed.Item(key=server.server_id, value=None, problem="garbled")]
     if whole:
         rows += [
@@ -177,7 +177,7 @@
     batch = feed.Batch(
         items=tuple(rows), position=_FAR, store_s=0.0, whole=whole
     )
-    listed.take(batch, world.inst.now())
+    listed.apply_batch(batch, world.inst.now())
     assert world.inst.directory.get(server.server_id) is None
     assert len(world.inst.directory.servers()) == 3
 
@@ -190,7 +190,7 @@
     for server in world.inst.directory.servers():
         if server.service != "not-ours":
             lost = errors.ConnectError("gone", silent=False)
-            world.inst.servers.unreachable(server, lost, "r1")
+            world.inst.servers.record_unreachable(server, lost, "r1")
     assert world.inst.isolated
     assert not world.inst.ready
 
@@ -350,8 +350,8 @@
     for kind in datagrams_module.Kind:
         taken = []
         datagrams.subscribe(kind, taken.append)
-        datagrams.take(bytes([kind]) + nested)
-        datagrams.take(bytes([kind]) + cbor2.dumps([1]))
+        datagrams.dispatch(bytes([kind]) + nested)
+        datagrams.dispatch(bytes([kind]) + cbor2.dumps([1]))
         assert len(taken) >= 1
 
 
@@ -393,27 +393,27 @@
         self.loads = []
         self.ends = []
         self._takers = {}
-        own = roster.Member(name="1", address="", data_centre="a")
-        members = roster.Roster(own=own)
+        own = membership.Member(name="1", address="", data_centre="a")
+        members = membership.Membership(own=own)
         fact_gossip.FactGossip(
             datagrams=self,
-            roster=members,
+            membership=members,
             on_fact=self._take_fact,
             rng=random.Random(1),
         )
         crash_gossip.CrashGossip(
-            crashes=self, datagrams=self, roster=members, log=None
+            crashes=self, datagrams=self, membership=members, log=None
         )
-        store_updates.Updates(
-            datagrams=self, roster=members, log=None
+        store_updates.StoreUpdates(
+            datagrams=self, membership=members, log=None
         ).subscribe(self.updates.append)
 
     def _take_fact(self, fact):
         if isinstance(fact, facts.ServerLoad):
             self.loads.append(fact)
 
-    def subscribe(self, kind, taker):
-        self._takers[kind] = taker
+    def subscribe(self, kind, handler):
+        self._takers[kind] = handler
 
     def take(self, kind, content):
         try:
@@ -425,10 +425,10 @@
     def send(self, address, data):
         """Takes what is passed on."""
 
-    def heard_end(self, content, end):
+    def receive_crash(self, content, end):
         self.ends.append(end)
 
-    def heard_good(self, content):
+    def receive_clear(self, content):
         self.ends.append(content)
 
 
