--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Runs one entry instance: listeners, followers, signals, planned stop."""
+"""Runs one entry instance: listeners, followers, signals, graceful stop."""
 
 from __future__ import annotations
 
@@ -26,22 +26,25 @@
 from irisshelf.gateway.requests import frontend
 from irisshelf.observe import decision_log
 from irisshelf.store import feed
-from irisshelf.transport import server as caller_side
+from irisshelf.transport import server as caller_server
 
 EXIT_OK = 0
 EXIT_BAD_SETTINGS = 2
 EXIT_CANNOT_LISTEN = 3
-# The balancer asks every second and needs two misses; meanwhile callers come.
+# How long new callers are served after the stop signal. The load balancer
+# checks readiness every second and stops sending callers after two failures.
 _LAME_DUCK_S = 3.2
-# Kept of the time to stop, for the process to end by itself.
+# Reserved within the time to stop, so that the process exits before it is
+# killed.
 _STOP_MARGIN_S = 0.5
-_STEP_S = 0.05
-# Of the process' descriptors, those for callers' connections; others go to
-# servers, instances, the store and files.
-_CALLERS_SHARE = 0.5
-# The settings file may change without a signal; how often it is looked at.
-_SETTINGS_EVERY_S = 2.0
-_ADMIN_LIMITS = caller_side.Limits(
+_POLL_INTERVAL_S = 0.05
+# Share of the file descriptors for connections of callers. The rest is for
+# backend servers, other instances, the store and files.
+_CALLER_DESCRIPTOR_SHARE = 0.5
+# The settings file is checked for changes at this interval, since it may be
+# replaced without a signal.
+_SETTINGS_POLL_S = 2.0
+_ADMIN_LIMITS = caller_server.Limits(
     head_bytes=16384, body_bytes=65536, head_s=3.0, idle_s=60.0
 )
 _OK = 200
@@ -54,9 +57,9 @@
 
     Args:
         cfg: The settings.
-        path: Where they stand.
-        make_dialect: Makes what callers and servers speak.
-        make_store: Makes the store's client from its address.
+        path: The settings file.
+        make_dialect: Creates the dialect of callers and backend servers.
+        make_store: Creates the store client for an address.
     """
 
     def __init__(
@@ -68,7 +71,7 @@
         make_store: Callable[[str], feed.Feed],
     ):
         self._path = path
-        self._data = _read(path)
+        self._data = _read_file(path)
         self._log = decision_log.DecisionLog(
             instance=cfg.instance, lines_per_s=cfg.log_lines_per_s
         )
@@ -87,25 +90,25 @@
             ),
             seeds=cfg.seeds,
             log=self._log,
-            on_peer_count=self._take_members,
+            on_peer_count=self._update_fleet_size,
         )
         self._members = local_membership.LocalMembership(
             membership=self._peers.membership,
             alone=not cfg.seeds,
             began_s=self._inst.now(),
         )
-        self._inst.eligible.members = self._names_here
+        self._inst.eligible.members = self._local_instance_names
         self._datagrams = datagrams.Datagrams(
             address=cfg.listen.peers, log=self._log
         )
-        self._crash_news = crash_gossip.CrashGossip(
+        self._crash_gossip = crash_gossip.CrashGossip(
             crashes=self._inst.crashes,
             datagrams=self._datagrams,
             membership=self._peers.membership,
             log=self._log,
         )
         self._peers.register_handler(
-            crash_gossip.SNAPSHOT_PATH, self._crash_news.snapshot
+            crash_gossip.SNAPSHOT_PATH, self._crash_gossip.snapshot
         )
         self._follower = follower.Follower(
             inst=self._inst,
@@ -128,17 +131,17 @@
         ]
 
     def run(self) -> None:
-        """Serves until told to stop.
+        """Serves until a stop signal is received.
 
         Raises:
-            OSError: An address cannot be listened on.
+            OSError: An address cannot be bound.
         """
         decision_log.start(self._log)
         gevent.spawn(self._datagrams.run)
         if self._inst.cfg.policy.gossip:
             self._start_gossip()
-        for one in self._listeners:
-            one.start()
+        for each in self._listeners:
+            each.start()
         for signum in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(signum, self._on_stop)
         gevent.signal_handler(signal.SIGHUP, self._reload, "signal")
@@ -148,7 +151,7 @@
         gevent.spawn(self._watch_settings)
         gevent.spawn(self._peers.run)
         gevent.spawn(
-            self._crash_news.catch_up,
+            self._crash_gossip.catch_up,
             lambda: self._peers.request_any(crash_gossip.SNAPSHOT_PATH),
         )
         cfg = self._inst.cfg
@@ -156,7 +159,7 @@
             "start", data_centre=cfg.data_centre, front=cfg.listen.front
         )
         while not self._inst.stopping:
-            gevent.sleep(_STEP_S)
+            gevent.sleep(_POLL_INTERVAL_S)
         self._drain()
         self._log.instance("stop", in_flight=self._inst.in_flight)
         self._log.flush()
@@ -171,21 +174,25 @@
         self._inst.servers.publish = gossip.publish
         gevent.spawn(gossip.run)
 
-    def _take_members(self, others_here: int) -> None:
-        """Takes how many other instances the own data centre has.
+    def _update_fleet_size(self, local_peers: int) -> None:
+        """Updates the fleet size from the size of the own data centre.
 
-        Data centres are taken to be alike: this serves to share a budget, of
-        which enough is kept back for some that are half as large again.
+        All data centres are assumed to have the same number of instances. The
+        result is used to divide retry slack; its unallocated part covers data
+        centres that are larger by half.
+
+        Args:
+            local_peers: Number of other instances in the own data centre.
         """
         count = 1
-        if others_here:
-            places = max(1, len(self._inst.cfg.data_centres))
-            count = (others_here + 1) * places
+        if local_peers:
+            data_centres = max(1, len(self._inst.cfg.data_centres))
+            count = (local_peers + 1) * data_centres
         self._inst.servers.fleet.record(count, self._inst.now())
-        # What is known now counts for a minute, see ``local_membership``.
-        self._names_here()
+        # Current members count for another minute, see ``local_membership``.
+        self._local_instance_names()
 
-    def _names_here(self) -> tuple[str, ...]:
+    def _local_instance_names(self) -> tuple[str, ...]:
         return self._members.names(self._inst.now())
 
     def _listener(self, address, limits, handle) -> listener.Listener:
@@ -195,7 +202,9 @@
             handle=handle,
             refuse=self._front.refuse,
             log=self._log,
-            most=max(1, int(_CALLERS_SHARE * self._inst.cfg.descriptors)),
+            most=max(
+                1, int(_CALLER_DESCRIPTOR_SHARE * self._inst.cfg.descriptors)
+            ),
         )
 
     def _on_stop(self) -> None:
@@ -205,47 +214,51 @@
             gevent.spawn(self._peers.announce_departure)
 
     def _drain(self) -> None:
-        """Ends open requests; callers come until the balancer has noticed."""
+        """Serves until the balancer has noticed, then ends open requests."""
         since_s = self._inst.stopping_since_s
         end_s = since_s + self._inst.cfg.bounds.stop_s - _STOP_MARGIN_S
         callers = self._listeners[0]
         while self._inst.now() < end_s:
-            gevent.sleep(_STEP_S)
-            noticed = self._inst.now() - since_s > _LAME_DUCK_S
-            if noticed and not callers.busy:
+            gevent.sleep(_POLL_INTERVAL_S)
+            balancer_noticed = self._inst.now() - since_s > _LAME_DUCK_S
+            if balancer_noticed and not callers.busy:
                 break
         callers.stop_accepting()
         callers.close_idle()
         while callers.busy and self._inst.now() < end_s:
-            gevent.sleep(_STEP_S)
+            gevent.sleep(_POLL_INTERVAL_S)
 
     def _watch_settings(self) -> None:
         while True:
-            gevent.sleep(_SETTINGS_EVERY_S)
-            if _read(self._path) != self._data:
+            gevent.sleep(_SETTINGS_POLL_S)
+            if _read_file(self._path) != self._data:
                 self._reload("file changed")
 
     def _reload(self, why: str) -> None:
-        """Takes new settings; addresses hold until the next start."""
-        self._data = _read(self._path)
+        """Applies changed settings; some take effect at the next start only."""
+        self._data = _read_file(self._path)
         loaded = settings.decode(self._data)
         if isinstance(loaded, result.Err):
             self._log.problem("reload_refused", why=why, detail=loaded.err())
             return
         cfg = loaded.ok_value
         fixed = ("instance", "data_centre", "listen", "store", "seeds")
-        later = [n for n in fixed if getattr(cfg, n) != _get(self._inst.cfg, n)]
+        deferred = [
+            n
+            for n in fixed
+            if getattr(cfg, n) != _get_setting(self._inst.cfg, n)
+        ]
         self._inst.apply_settings(cfg)
-        self._log.instance("reload", why=why, from_next_start=later)
+        self._log.instance("reload", why=why, from_next_start=deferred)
 
     def _ready(
-        self, request: caller_side.Request, conn: caller_side.Connection
+        self, request: caller_server.Request, conn: caller_server.Connection
     ) -> None:
         ready = self._inst.check_readiness()
         conn.answer(_OK if ready else _UNAVAILABLE, [], b"")
 
     def _metrics(
-        self, request: caller_side.Request, conn: caller_side.Connection
+        self, request: caller_server.Request, conn: caller_server.Connection
     ) -> None:
         if request.target.partition("?")[0] != "/metrics":
             conn.answer(_NOT_FOUND, [], b"")
@@ -279,17 +292,17 @@
     return EXIT_OK
 
 
-def _admin_limits() -> caller_side.Limits:
+def _admin_limits() -> caller_server.Limits:
     return _ADMIN_LIMITS
 
 
-def _read(path: pathlib.Path) -> bytes:
+def _read_file(path: pathlib.Path) -> bytes:
     try:
         return path.read_bytes()
     except OSError:
-        # Settings that are being replaced; the next look finds them.
+        # The file is probably being replaced; the next check will find it.
         return b""
 
 
-def _get(cfg: settings.Settings, name: str) -> object:
+def _get_setting(cfg: settings.Settings, name: str) -> object:
     return getattr(cfg, name)
--- a/irisshelf/gateway/instance.py
+++ b/irisshelf/gateway/instance.py
@@ -1,4 +1,4 @@
-"""What one entry instance holds and believes while it runs."""
+"""State of a running entry instance."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from irisshelf.gateway.servers import servers as servers_module
 from irisshelf.observe import decision_log
 
-# Where withdrawals bind strictly, a key holds for so long after the store last
-# confirmed it, as a share of the bound: the store may tell a change a second
-# late (when it drops its history).
+# With ``keys_strict``, how long a key stays valid after the store last
+# confirmed it, as a share of ``key_withdrawn_ms``. The rest is needed because
+# the store may report a change a second late (when it drops its history).
 KEY_AGE_SHARE = 0.76
-# A call on the configuration is held for the time that one has to come into
-# force, at the most, and answered within this time after; see ``follower``.
-_ANSWER_S = 0.6
+# A long poll for the configuration lasts at most ``catalog_in_force_ms`` and is
+# answered within this time afterwards; see ``follower``.
+_LONG_POLL_MARGIN_S = 0.6
 
 
 class Instance:
@@ -32,10 +32,10 @@
 
     Args:
         cfg: The settings.
-        dialect: What callers and servers speak.
-        log: Takes decisions.
-        rng: For weights and ties.
-        now: Monotonic seconds.
+        dialect: Dialect of callers and backend servers.
+        log: Decision log.
+        rng: Used for weighted choices and to break ties.
+        now: Returns monotonic seconds.
     """
 
     def __init__(
@@ -80,26 +80,27 @@
             counts=self.metrics,
             now=now,
         )
-        # Since when the store is away for others of the data centre as well,
-        # monotonic seconds; None if it is not, or if that is not known.
+        # Start of a store outage that also affects other instances of the data
+        # centre, in monotonic seconds; None if there is none or it is unknown.
         self.outage_since_s: float | None = None
-        self._listed = False
+        self._server_list_loaded = False
         self._was_ready = False
         self.stopping_since_s: float | None = None
         self.in_flight = 0
         self._sleep_meter = boottime.SleepMeter()
 
     def apply_settings(self, cfg: settings.Settings) -> None:
-        """Takes settings that were read anew."""
+        """Applies reloaded settings."""
         self.cfg = cfg
         self.servers.cfg = cfg
         self.eligible.cfg = cfg
 
     def log_suspend(self) -> None:
-        """Logs that the machine has slept, if it has since the last time.
+        """Logs whether the machine was suspended since the last call.
 
-        Asked before each request is admitted. What ran out in the sleep has
-        run out by then in any case, see ``boottime``.
+        Called before each request is admitted. Time-outs that expired during
+        the suspension have taken effect by then, since the clock includes
+        suspended time; see ``boottime``.
         """
         slept_s = self._sleep_meter.slept_s()
         if not slept_s:
@@ -116,27 +117,27 @@
 
     @property
     def configured(self) -> bool:
-        """Whether configuration and servers are known."""
-        return self._listed and self.catalog is not None
+        """Whether the configuration and the server list have been loaded."""
+        return self._server_list_loaded and self.catalog is not None
 
     @property
     def stopping(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a graceful stop has begun."""
         return self.stopping_since_s is not None
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send new connections here."""
+        """Whether the load balancer should send new connections here."""
         return not self._why_not_ready()
 
     @property
     def isolated(self) -> bool:
-        """Whether no server of the configuration's can be reached."""
+        """Whether no server of any configured service can be reached."""
         services = self.catalog.services if self.catalog else ()
         return self.servers.is_isolated(services)
 
     def check_readiness(self) -> bool:
-        """Tells whether it is ready, and logs it if that has changed."""
+        """Returns whether the instance is ready, and logs a change."""
         why = self._why_not_ready()
         ready = not why
         if ready is not self._was_ready:
@@ -161,11 +162,11 @@
         if not self.keys_valid():
             return "cut off from the store"
         if self.isolated:
-            return "no server in reach"
+            return "no backend server reachable"
         return ""
 
     def keys_valid(self) -> bool:
-        """Tells whether the store has confirmed the keys lately enough."""
+        """Tells whether the store has confirmed the keys recently enough."""
         bounds = self.cfg.bounds
         bound_s = bounds.keys_unconfirmed_s
         if bounds.keys_strict:
@@ -173,16 +174,22 @@
         return self.freshness.age_s(self.now()) <= bound_s
 
     def catalog_may_be_stale(self) -> bool:
-        """Tells whether a configuration may be owed that is not in force.
+        """Tells whether a newer configuration may have to be in force.
 
-        Its age grows while a call is held, so that it is in doubt only once
-        that call is overdue.
+        The age of the configuration grows during a long poll, so that it may be
+        stale only once the response to the poll is overdue.
         """
         in_force_s = self.cfg.bounds.catalog_in_force_ms / 1000
-        return self.freshness.age_s(self.now()) > in_force_s + _ANSWER_S
+        return (
+            self.freshness.age_s(self.now()) > in_force_s + _LONG_POLL_MARGIN_S
+        )
 
     def apply_catalog(self, catalog: model.Catalog) -> bool:
-        """Brings a configuration into force, unless it is an older one."""
+        """Puts a configuration in force, if it is newer than the current one.
+
+        Returns:
+            Whether the configuration was applied.
+        """
         if self.catalog is not None and (
             catalog.version <= self.catalog.version
         ):
@@ -201,7 +208,7 @@
         return True
 
     def evacuations_changed(self, changed: evacuations.Changed) -> None:
-        """Takes that data centres are evacuated, or are not any more."""
+        """Applies the start or end of data centre evacuations."""
         if not changed:
             return
         evacuated = sorted(self.evacuations.now())
@@ -216,6 +223,6 @@
             self.eligible.evacuation_lifted(data_centre)
 
     def server_list_loaded(self) -> None:
-        """Notes that the store's list has been read."""
-        self._listed = True
+        """Records that the server list has been read from the store."""
+        self._server_list_loaded = True
         self.servers.on_list_changed()
