--- a/irisshelf/routing/owned/service.py
+++ b/irisshelf/routing/owned/service.py
@@ -264,8 +264,8 @@
 
     def refresh(self, name: str) -> None:
         """Updates placement after a health change of a server or engine."""
-        index = self._index.get(name)
-        indexes = self._by_server.get(name, []) if index is None else [index]
+        engine = self._index.get(name)
+        indexes = self._by_server.get(name, []) if engine is None else [engine]
         for index in indexes:
             available = self._health.takes_work(self._targets[index].name)
             self.placer.set_available(index, available)
--- a/irisshelf/tests/test_any_settings.py
+++ b/irisshelf/tests/test_any_settings.py
@@ -1,4 +1,7 @@
-"""Settings and callers' requests of any bytes: a value, or the typed error."""
+"""Property tests of settings and requests with arbitrary content.
+
+Each input must give a valid value or the documented error.
+"""
 
 import contextlib
 import json
@@ -17,7 +20,7 @@
 from irisshelf.platform import http_dialect
 from irisshelf.transport import server
 
-_GOOD = {
+_VALID = {
     "instance": "entry-1",
     "data_centre": "a",
     "listen": {
@@ -64,7 +67,7 @@
 _LIMITS = server.Limits(head_bytes=4096, body_bytes=4096, head_s=1, idle_s=1)
 
 
-def _sound(cfg):
+def _check_valid(cfg):
     for name, value in vars(cfg.bounds).items():
         if isinstance(value, float):
             assert value >= 0 and math.isfinite(value), name
@@ -75,10 +78,10 @@
 
 @hypothesis.given(data=strategies.binary(max_size=200))
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
-def test_settings_of_any_bytes_are_refused_in_words(data):
-    found = settings.decode(data)
-    assert isinstance(found, result.Err)
-    assert found.err_value
+def test_arbitrary_bytes_are_rejected_with_a_message(data):
+    decoded = settings.decode(data)
+    assert isinstance(decoded, result.Err)
+    assert decoded.err_value
 
 
 @hypothesis.given(field=strategies.sampled_from(_FIELDS), value=_VALUES)
@@ -88,18 +91,18 @@
 @hypothesis.example(("listen", "front"), "127.0.0.1:" + "9" * 5000)
 @hypothesis.example(("store",), "[::1]:80")
 @hypothesis.settings(max_examples=500, derandomize=True, deadline=None)
-def test_a_field_of_any_value_is_taken_or_named(field, value):
-    document = json.loads(json.dumps(_GOOD))
+def test_arbitrary_field_value_is_accepted_or_named_in_the_error(field, value):
+    document = json.loads(json.dumps(_VALID))
     part = document
     for name in field[:-1]:
         part = part[name]
     part[field[-1]] = value
-    found = settings.decode(json.dumps(document).encode())
-    if isinstance(found, result.Ok):
-        _sound(found.ok_value)
+    decoded = settings.decode(json.dumps(document).encode())
+    if isinstance(decoded, result.Ok):
+        _check_valid(decoded.ok_value)
     else:
-        named = field[0] in found.err_value or "allowed" in found.err_value
-        assert named or "not valid JSON" in found.err_value
+        named = field[0] in decoded.err_value or "allowed" in decoded.err_value
+        assert named or "not valid JSON" in decoded.err_value
 
 
 _HEADERS = strategies.lists(
@@ -128,7 +131,7 @@
     body=strategies.binary(max_size=20),
 )
 @hypothesis.settings(max_examples=400, derandomize=True, deadline=None)
-def test_any_callers_head_is_understood_or_refused(headers, target, body):
+def test_arbitrary_request_head_is_parsed_or_rejected(headers, target, body):
     inbound = messages.InboundRequest(
         method="POST",
         target=target,
@@ -137,14 +140,14 @@
         has_body=True,
         arrived_s=0.0,
     )
-    asked = http_dialect.HttpDialect().parse_request(inbound)
-    if isinstance(asked, result.Err):
-        assert "allowed" in asked.err_value
+    parsed = http_dialect.HttpDialect().parse_request(inbound)
+    if isinstance(parsed, result.Err):
+        assert "allowed" in parsed.err_value
         return
-    ask = asked.ok_value
-    assert ask.deadline_s is None or 0 <= ask.deadline_s < 1e9
-    assert ask.last_event_id is None or 0 <= ask.last_event_id < 10**15
-    assert all(0 <= part.tokens < 10**15 for part in ask.prompt.parts)
+    head = parsed.ok_value
+    assert head.deadline_s is None or 0 <= head.deadline_s < 1e9
+    assert head.last_event_id is None or 0 <= head.last_event_id < 10**15
+    assert all(0 <= part.tokens < 10**15 for part in head.prompt.parts)
 
 
 @hypothesis.given(data=strategies.binary(min_size=1, max_size=300))
@@ -154,10 +157,10 @@
     b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
-def test_any_bytes_on_a_connection_end_it_or_are_a_request(data):
-    """They end no more than their own connection, without a complaint."""
+def test_arbitrary_bytes_close_the_connection_or_are_a_request(data):
+    """Input on one connection must not cause an internal error."""
     problems = []
-    with _listening(problems) as address:
+    with _running_listener(problems) as address:
         caller = socket.create_connection(address)
         caller.settimeout(5)
         caller.sendall(data)
@@ -171,7 +174,7 @@
 
 
 @contextlib.contextmanager
-def _listening(problems):
+def _running_listener(problems):
     listening = listener.Listener(
         address="127.0.0.1:0",
         limits=lambda: _LIMITS,
@@ -196,5 +199,5 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b"null", b'"x"', b"{}"])
-def test_settings_that_are_none_are_refused(data):
+def test_documents_without_settings_are_rejected(data):
     assert isinstance(settings.decode(data), result.Err)
--- a/irisshelf/tests/test_forwarding.py
+++ b/irisshelf/tests/test_forwarding.py
@@ -1,4 +1,8 @@
-"""An owner that is gone, cut off, mad, or names another: what callers get."""
+"""Tests of responses to callers when the owner of an engine fails.
+
+The owner is unreachable, silent, sends garbage, names another target, refuses,
+or breaks off its response.
+"""
 
 import json
 import random
@@ -19,36 +23,36 @@
 _OWNER = "zz-owner"
 
 
-class _Owner:
-    """Another instance, which behaves as told."""
+class _StandInOwner:
+    """Stand-in for another instance, with a configurable fault."""
 
-    def __init__(self, manner):
-        self.asked = 0
-        self._manner = manner
+    def __init__(self, behaviour):
+        self.request_count = 0
+        self._behaviour = behaviour
         self._server = server.StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
-        if manner == "gone":
+        if behaviour == "gone":
             self._server.stop()
 
     def _serve(self, sock, _address):
-        self.asked += 1
+        self.request_count += 1
         sock.recv(65_536)
-        if self._manner == "silent":
+        if self._behaviour == "silent":
             gevent.sleep(5)
-        elif self._manner == "garbage":
+        elif self._behaviour == "garbage":
             sock.sendall(b"\x00\x01\x02\r\n\r\n")
-        elif self._manner == "names another":
+        elif self._behaviour == "names another":
             sock.sendall(
                 b"HTTP/1.1 421 No\r\nX-Outcome: not_run\r\n"
                 b"X-Target: lm-0/e1\r\nContent-Length: 2\r\n\r\n{}"
             )
-        elif self._manner == "refuses":
+        elif self._behaviour == "refuses":
             sock.sendall(
                 b"HTTP/1.1 503 No\r\nX-Outcome: not_run\r\n"
                 b"Content-Length: 2\r\n\r\n{}"
             )
-        elif self._manner == "dies":
+        elif self._behaviour == "dies":
             sock.sendall(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
                 b"X-Attempt-Id: nobody\r\nX-Target: lm-0/e0\r\n\r\n"
@@ -60,15 +64,15 @@
 
 
 @pytest.fixture
-def rig(request):
-    """An instance, all of whose engines another instance owns."""
-    owner = _Owner(request.param)
+def forwarding(request):
+    """An instance all of whose engines are owned by a stand-in."""
+    owner = _StandInOwner(request.param)
     engines = engine.FakeEngineServer(
         engines=("e0", "e1"), cfg=engine.EngineConfig(token_s=0.0)
     )
-    served = harness.Server(app=engines)
+    engine_server = harness.Server(app=engines)
     document = examples.bundle_document()
-    document["backend_servers"]["lm-0"]["address"] = served.address
+    document["backend_servers"]["lm-0"]["address"] = engine_server.address
     document["services"]["lm"]["timeouts"] = {"idle_s": 0.3, "connect_s": 0.3}
     instance = harness.Instance(
         name="i0",
@@ -95,11 +99,11 @@
     yield instance, engines, owner
     owner.stop()
     instance.stop()
-    served.stop()
+    engine_server.stop()
 
 
 @pytest.mark.parametrize(
-    ("rig", "marked"),
+    ("forwarding", "reported"),
     [
         ("gone", True),
         ("silent", True),
@@ -108,11 +112,13 @@
         ("refuses", False),
         ("dies", False),
     ],
-    indirect=["rig"],
+    indirect=["forwarding"],
 )
 @pytest.mark.parametrize("stream", [True, False])
-def test_a_caller_is_served_or_told_honestly(rig, marked, stream):
-    instance, engines, owner = rig
+def test_caller_gets_a_response_or_a_correct_outcome(
+    forwarding, reported, stream
+):
+    instance, engines, owner = forwarding
     unreachable = []
     instance.node.peer_unreachable = unreachable.append
     body = {
@@ -121,18 +127,18 @@
         "max_tokens": 3,
         "stream": stream,
     }
-    got = instance.call(
+    response = instance.call(
         "POST",
         "/v1/chat/completions",
         key=examples.TEAM_KEY,
         body=json.dumps(body).encode(),
     )
     runs = sum(len(e.runs) for e in engines.engines.values())
-    if got.status == 200:
-        assert got.body.count(b"m ") == 3
+    if response.status == 200:
+        assert response.body.count(b"m ") == 3
         assert runs == 1
     else:
-        assert got.outcome in ("not_run", "unknown")
-        assert got.outcome != "not_run" or runs == 0
-    assert owner.asked <= 8  # No storm, whatever the owner does.
-    assert (owner.address in unreachable) == marked
+        assert response.outcome in ("not_run", "unknown")
+        assert response.outcome != "not_run" or runs == 0
+    assert owner.request_count <= 8  # Forwarding must not loop.
+    assert (owner.address in unreachable) == reported
--- a/irisshelf/tests/test_gateway_path.py
+++ b/irisshelf/tests/test_gateway_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform, against stand-ins of theirs."""
+"""End-to-end tests of the gateway with stand-ins for store and servers."""
 
 import pytest
 
@@ -18,7 +18,9 @@
         pytest.param("/alarm/empty", "POST", b"", id="no-body"),
     ],
 )
-def test_each_kind_is_served_once_and_unchanged(world, target, method, body):
+def test_each_kind_of_request_runs_once_and_unchanged(
+    world, target, method, body
+):
     answer = world.ask(target, method=method, body=body, Request_Id="mine")
     assert (answer.status, answer.whole) == (200, True)
     assert answer.headers["request-id"] == "mine"
@@ -40,7 +42,7 @@
         ("x-own", "kept"),
     ],
 )
-def test_servers_get_the_callers_headers_and_ours(world, name, expected):
+def test_servers_get_headers_of_caller_and_gateway(world, name, expected):
     world.ask(
         "/digest/1",
         Model="m",
@@ -54,13 +56,13 @@
 
 
 @pytest.mark.parametrize("name", ["authorization", "kv-from", "hold"])
-def test_servers_do_not_get_what_is_ours_alone(world, name):
+def test_servers_do_not_get_headers_for_the_gateway_only(world, name):
     world.ask("/alarm/1", Kv_From="1.2.3.4:5/x", Hold="h")
     (run,) = [r for s in world.plain for r in s.runs]
     assert name not in run.headers
 
 
-def test_servers_get_what_is_left_of_the_callers_time(world):
+def test_servers_get_the_remaining_time_of_the_deadline(world):
     world.ask("/alarm/1", Deadline_Ms="700")
     (run,) = [r for s in world.plain for r in s.runs]
     assert 0 < int(run.headers["deadline-ms"]) <= 700
@@ -83,7 +85,7 @@
         pytest.param("/digest/1", {"Deadline_Ms": "soon"}, 400, id="deadline"),
     ],
 )
-def test_what_may_not_pass_is_told_why_and_does_not_run(
+def test_invalid_request_gets_an_error_and_does_not_run(
     world, target, headers, status
 ):
     answer = world.ask(target, **headers)
@@ -92,20 +94,20 @@
     assert not [r for s in [*world.plain, *world.engines] for r in s.runs]
 
 
-def test_a_connection_serves_many_requests(world):
+def test_connection_serves_several_requests(world):
     conn = world.connect()
     answers = [world.ask("/alarm/1", conn=conn).status for _ in range(5)]
     assert answers == [200] * 5
 
 
-def test_public_routes_need_no_key(world):
+def test_public_route_needs_no_key(world):
     routes = [world_module.route("/open/", "safe", "crew", public=True)]
     world.store.put("op", "config", world_module.config(2, routes=routes))
     world.wait(lambda: world.inst.catalog.version == 2)
     assert world.ask("/open/1", Authorization="").status == 200
 
 
-def test_a_teams_priority_goes_before_the_routes(world):
+def test_priority_of_the_team_overrides_that_of_the_route(world):
     tenants = [{"name": "blue", "apiKeys": [_KEY], "priority": 7}]
     world.store.put("op", "config", world_module.config(2, tenants=tenants))
     world.wait(lambda: world.inst.catalog.version == 2)
@@ -114,7 +116,7 @@
     assert run.headers["request-priority"] == "7"
 
 
-def test_requests_with_the_same_shared_parts_go_to_one_server(world):
+def test_requests_with_the_same_shared_prompt_parts_go_to_one_server(world):
     for number in range(6):
         world.ask("/digest/1", Prefix_Hash=f"aa:500,bb:900,own{number}:9")
     used = {r.server_id for s in world.engines for r in s.runs}
--- a/irisshelf/tests/test_gateway_settings.py
+++ b/irisshelf/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings, log and events: what an operator writes and reads."""
+"""Tests of settings validation, the decision log and event splitting."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 from irisshelf.observe import decision_log
 from irisshelf.routing.direct import event_stream
 
-_GOOD = {
+_VALID = {
     "instance": "entry-1",
     "data_centre": "a",
     "listen": {
@@ -24,10 +24,10 @@
 
 
 def _decode(change):
-    return settings.decode(json.dumps(_GOOD | change).encode())
+    return settings.decode(json.dumps(_VALID | change).encode())
 
 
-def test_good_settings_are_taken():
+def test_valid_settings_are_accepted():
     cfg = _decode({"bounds": {"stop_s": 6}, "not_known_yet": 1}).unwrap()
     assert (cfg.instance, cfg.bounds.stop_s) == ("entry-1", 6.0)
 
@@ -50,7 +50,7 @@
         ({"max_requests": "many"}, "max_requests", "many", "int"),
     ],
 )
-def test_bad_settings_name_field_value_and_what_is_allowed(
+def test_error_names_field_value_and_allowed_values(
     change, field, value, allowed
 ):
     text = _decode(change).unwrap_err()
@@ -59,13 +59,13 @@
     assert allowed in text
 
 
-def test_missing_settings_are_named():
-    left = {k: v for k, v in _GOOD.items() if k != "store"}
-    text = settings.decode(json.dumps(left).encode()).unwrap_err()
+def test_error_names_missing_field():
+    incomplete = {k: v for k, v in _VALID.items() if k != "store"}
+    text = settings.decode(json.dumps(incomplete).encode()).unwrap_err()
     assert "store" in text
 
 
-def test_settings_that_are_no_json_are_refused():
+def test_settings_that_are_not_json_are_rejected():
     assert isinstance(settings.decode(b"{"), result.Err)
 
 
@@ -82,13 +82,13 @@
     data = b""
     while True:
         try:
-            part = os.read(reader, 65536)
+            block = os.read(reader, 65536)
         except BlockingIOError:
             return [json.loads(line) for line in data.splitlines()]
-        data += part
+        data += block
 
 
-def test_a_decision_is_one_line_with_its_inputs(pipe):
+def test_decision_is_logged_as_one_line_with_its_fields(pipe):
     log = decision_log.DecisionLog(instance="entry-1", fd=pipe[1])
     log.request("send", "r1", server="s1", load=1.5)
     log.flush()
@@ -98,7 +98,7 @@
     assert line["instance"] == "entry-1"
 
 
-def test_lines_about_requests_are_bounded_and_the_rest_is_counted(pipe):
+def test_request_log_lines_are_limited_and_dropped_ones_counted(pipe):
     log = decision_log.DecisionLog(
         instance="entry-1", lines_per_s=5.0, fd=pipe[1]
     )
@@ -111,7 +111,7 @@
     assert log.dropped == 95
 
 
-def test_nobody_reading_does_not_block(pipe):
+def test_logging_does_not_block_without_a_reader(pipe):
     log = decision_log.DecisionLog(
         instance="entry-1", lines_per_s=1e9, fd=pipe[1]
     )
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "ids", "rest"),
+    ("chunks", "ids", "rest"),
     [
         ([b"id: 1\ndata: a\n\n"], [1], b""),
         ([b"id: 1\ndata", b": a\n", b"\nid: 2\n"], [1], b"id: 2\n"),
@@ -133,10 +133,10 @@
         ([b""], [], b""),
     ],
 )
-def test_streams_are_cut_into_whole_events(pieces, ids, rest):
+def test_stream_is_split_into_complete_events(chunks, ids, rest):
     splitter = event_stream.Splitter()
-    events = [e for piece in pieces for e in splitter.feed(piece)]
+    events = [e for chunk in chunks for e in splitter.feed(chunk)]
     assert [e.event_id for e in events] == ids
     whole = b"".join(e.data for e in events)
-    assert whole + splitter.pending == b"".join(pieces)
+    assert whole + splitter.pending == b"".join(chunks)
     assert splitter.pending == rest
--- a/irisshelf/tests/test_routing.py
+++ b/irisshelf/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Ranking, placement, load, ownership, popularity, cache view."""
+"""Tests of ranking, placement, load, ownership, popularity and cache view."""
 
 import collections
 import random
@@ -37,7 +37,7 @@
     )
 
 
-def test_every_instance_ranks_alike_whatever_the_order_of_its_list():
+def test_ranking_is_independent_of_the_member_order():
     members = _members(20)
     shuffled = members[::-1]
     one = ranking.Ranking(members=members)
@@ -48,7 +48,7 @@
         assert names_one == names_two
 
 
-def test_a_member_that_goes_moves_only_its_own_keys():
+def test_removing_a_member_moves_only_its_keys():
     before = ranking.Ranking(members=_members(20))
     after = ranking.Ranking(members=_members(19))
     moved = sum(
@@ -59,7 +59,7 @@
     assert moved == 0
 
 
-def test_weights_draw_keys_in_proportion():
+def test_members_get_keys_in_proportion_to_their_weights():
     members = [
         ranking.Member(name="a", weight=1.0),
         ranking.Member(name="b", weight=3.0),
@@ -72,14 +72,14 @@
 
 
 @pytest.mark.parametrize("key", [0, 1, (1 << 64) - 1])
-def test_whole_order_starts_with_order(key):
+def test_full_order_starts_with_first_members(key):
     ranks = ranking.Ranking(members=_members(40))
     whole = ranks.full_order(key)
     assert whole[: ranking.DEPTH] == ranks.first_members(key)
     assert sorted(whole) == list(range(40))
 
 
-def test_a_chat_comes_back_to_the_same_engine():
+def test_chat_returns_to_the_same_engine():
     placer = _placer()
     first = placer.place(_ctx())
     placer.record_sent(_ctx(), first, 0.0)
@@ -89,7 +89,7 @@
     assert again.reason is placement.Reason.HOME
 
 
-def test_the_bound_holds_over_many_sends():
+def test_load_bound_holds_over_many_requests():
     placer = _placer(count=16, margin=0.0)
     biggest = 0.0
     rng = random.Random(3)
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    ("unavailable", "avoid", "found"),
+    ("unavailable", "avoid", "result"),
     [
         ((), (), True),
         ((0,), (), True),
@@ -115,17 +115,17 @@
         ((), (0, 1, 2), False),
     ],
 )
-def test_only_available_engines_are_chosen(unavailable, avoid, found):
+def test_only_available_engines_are_chosen(unavailable, avoid, result):
     placer = _placer(count=3)
     for engine in unavailable:
         placer.set_available(engine, False)
     placed = placer.place(_ctx(), avoid=frozenset(avoid))
-    assert (placed is not None) == found
-    if found:
+    assert (placed is not None) == result
+    if result:
         assert placed.engine not in {*unavailable, *avoid}
 
 
-def test_a_displaced_chat_is_found_again_and_forgotten_at_home():
+def test_displaced_chat_is_tracked_until_its_cache_is_lost():
     placer = _placer()
     home = placer.place(_ctx()).engine
     placer.set_available(home, False)
@@ -142,7 +142,7 @@
     assert placer.place(_ctx(chat_tokens=50)).engine == home
 
 
-def test_an_owner_forwards_what_it_does_not_own():
+def test_owner_forwards_requests_for_engines_of_others():
     placer = _placer(count=8)
     home = placer.preferred_engine(_ctx())
     placer.set_owned([e for e in range(8) if e != home])
@@ -154,7 +154,7 @@
     assert placed.engine != home
 
 
-def test_a_full_engine_of_another_owner_is_not_asked():
+def test_request_is_not_forwarded_to_a_full_engine():
     placer = _placer(count=8)
     home = placer.preferred_engine(_ctx())
     placer.set_owned([e for e in range(8) if e != home])
@@ -165,7 +165,7 @@
     assert isinstance(placed, placement.Placement)
 
 
-def test_a_hot_history_is_spread_and_a_cold_one_is_not():
+def test_only_popular_histories_get_several_homes():
     placer = _placer(count=64)
     for chat in range(400):
         placer.record_arrival(_ctx(chat, shared=1), 0.0)
@@ -178,37 +178,39 @@
     assert len(homes) > 32
 
 
-def test_reports_replace_own_sends_and_age():
-    book = load.LoadTracker(size=2, instances=3, max_report_age_s=10)
-    book.add(0, 10.0, now=1.0)
-    assert book.estimate(0) == 30.0  # Others are thought to send alike.
-    book.report(0, load.LoadReport(work=50.0, at_s=2.0))
-    book.add(0, 5.0, now=3.0)
-    assert book.estimate(0) == 55.0
-    book.report(0, load.LoadReport(work=99.0, at_s=1.5))
-    assert book.estimate(0) == 55.0  # Older than the last one.
-    book.expire(now=13.0)
-    assert book.estimate(0) == 45.0
-    assert book.total() == sum(book.estimates())
-
-
-def test_a_late_report_does_not_count_sends_twice():
-    book = load.LoadTracker(size=1)
-    book.add(0, 10.0, now=1.0)
-    book.add(0, 7.0, now=3.0)
-    book.report(0, load.LoadReport(work=10.0, at_s=2.0))
-    assert book.estimate(0) == 17.0
-
-
-def test_popularity_forgets_with_time_and_is_bounded():
-    found = popularity.Popularity(half_life_s=10, max_keys=4)
-    found.add(1, 100.0, now=0.0)
-    found.add(2, 100.0, now=20.0)
-    assert found.share(2) == pytest.approx(0.8)
+def test_reports_replace_own_work_and_expire():
+    tracker = load.LoadTracker(size=2, instances=3, max_report_age_s=10)
+    tracker.add(0, 10.0, now=1.0)
+    assert (
+        tracker.estimate(0) == 30.0
+    )  # The others are assumed to send as much.
+    tracker.report(0, load.LoadReport(work=50.0, at_s=2.0))
+    tracker.add(0, 5.0, now=3.0)
+    assert tracker.estimate(0) == 55.0
+    tracker.report(0, load.LoadReport(work=99.0, at_s=1.5))
+    assert tracker.estimate(0) == 55.0  # The report is older than the last one.
+    tracker.expire(now=13.0)
+    assert tracker.estimate(0) == 45.0
+    assert tracker.total() == sum(tracker.estimates())
+
+
+def test_late_report_does_not_count_work_twice():
+    tracker = load.LoadTracker(size=1)
+    tracker.add(0, 10.0, now=1.0)
+    tracker.add(0, 7.0, now=3.0)
+    tracker.report(0, load.LoadReport(work=10.0, at_s=2.0))
+    assert tracker.estimate(0) == 17.0
+
+
+def test_popularity_decays_and_is_bounded():
+    loads = popularity.Popularity(half_life_s=10, max_keys=4)
+    loads.add(1, 100.0, now=0.0)
+    loads.add(2, 100.0, now=20.0)
+    assert loads.share(2) == pytest.approx(0.8)
     for key in range(3, 40):
-        found.add(key, 1.0, now=20.0)
-    assert found.share(2) > 0
-    assert len(found._loads) <= 8
+        loads.add(key, 1.0, now=20.0)
+    assert loads.share(2) > 0
+    assert len(loads._loads) <= 8
 
 
 @pytest.mark.parametrize(
@@ -220,7 +222,7 @@
         ([1, 2, 3, 4, 5, 6, 7, 8, 9], 1300, 1000),
     ],
 )
-def test_cache_view_evicts_chats_before_their_history(
+def test_cache_view_evicts_chats_before_shared_history(
     touched, capacity, cached
 ):
     view = cache_view.CacheView(capacity_tokens=capacity)
@@ -230,14 +232,14 @@
 
 
 def _owners(engines, instances):
-    found = ownership.OwnershipMap(engines=engines, instances=instances)
+    owners = ownership.OwnershipMap(engines=engines, instances=instances)
     for instance in instances:
-        owned = [e for e in engines if found.owner_of(e) == instance.name]
-        assert found.owned_by(instance.name) == owned
-    return {engine: found.owner_of(engine) for engine in engines}
+        owned = [e for e in engines if owners.owner_of(e) == instance.name]
+        assert owners.owned_by(instance.name) == owned
+    return {engine: owners.owner_of(engine) for engine in engines}
 
 
-def test_owners_stand_in_the_engines_data_centre_and_move_little():
+def test_owners_are_local_and_change_only_with_their_instance():
     engines = {f"e{i}": "a" if i % 2 else "b" for i in range(60)}
     instances = [
         ownership.Candidate(name=f"i{i}", data_centre="a" if i < 4 else "b")
@@ -255,10 +257,10 @@
     ("instances", "owner"),
     [
         ([], None),
-        ([ownership.Candidate(name="i", data_centre="far")], "i"),
+        ([ownership.Candidate(name="i", data_centre="remote")], "i"),
     ],
 )
-def test_without_instances_near_a_far_one_owns(instances, owner):
+def test_remote_instance_owns_if_none_is_local(instances, owner):
     assert _owners({"e": "a"}, instances)["e"] == owner
 
 
@@ -286,7 +288,7 @@
     assert ctx.has_history == (chat > 0)
 
 
-def test_a_chat_keeps_its_key_as_it_grows_and_teams_differ():
+def test_chat_key_is_stable_and_differs_between_teams():
     first = [{"role": "user", "content": "hello"}]
     grown = [
         *first,
