--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -122,12 +122,18 @@
         )
         self._front = frontend.Frontend(inst=self._inst)
         self._listeners = [
-            self._listener(
+            self._make_listener(
                 cfg.listen.front, self._front.limits, self._front.handle
             ),
-            self._listener(cfg.listen.ready, _admin_limits, self._ready),
-            self._listener(cfg.listen.metrics, _admin_limits, self._metrics),
-            self._listener(cfg.listen.peers, _admin_limits, self._peers.handle),
+            self._make_listener(
+                cfg.listen.ready, _admin_limits, self._handle_ready
+            ),
+            self._make_listener(
+                cfg.listen.metrics, _admin_limits, self._handle_metrics
+            ),
+            self._make_listener(
+                cfg.listen.peers, _admin_limits, self._peers.handle
+            ),
         ]
 
     def run(self) -> None:
@@ -143,7 +149,7 @@
         for each in self._listeners:
             each.start()
         for signum in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(signum, self._on_stop)
+            gevent.signal_handler(signum, self._begin_stop)
         gevent.signal_handler(signal.SIGHUP, self._reload, "signal")
         for table in feed.Table:
             gevent.spawn(self._follower.run, table)
@@ -195,7 +201,7 @@
     def _local_instance_names(self) -> tuple[str, ...]:
         return self._members.names(self._inst.now())
 
-    def _listener(self, address, limits, handle) -> listener.Listener:
+    def _make_listener(self, address, limits, handle) -> listener.Listener:
         return listener.Listener(
             address=address,
             limits=limits,
@@ -207,7 +213,7 @@
             ),
         )
 
-    def _on_stop(self) -> None:
+    def _begin_stop(self) -> None:
         if not self._inst.stopping:
             self._inst.stopping_since_s = self._inst.now()
             self._log.instance("stopping", in_flight=self._inst.in_flight)
@@ -251,13 +257,13 @@
         self._inst.apply_settings(cfg)
         self._log.instance("reload", why=why, from_next_start=deferred)
 
-    def _ready(
+    def _handle_ready(
         self, request: caller_server.Request, conn: caller_server.Connection
     ) -> None:
         ready = self._inst.check_readiness()
         conn.answer(_OK if ready else _UNAVAILABLE, [], b"")
 
-    def _metrics(
+    def _handle_metrics(
         self, request: caller_server.Request, conn: caller_server.Connection
     ) -> None:
         if request.target.partition("?")[0] != "/metrics":
--- a/irisshelf/gateway/instance.py
+++ b/irisshelf/gateway/instance.py
@@ -84,10 +84,10 @@
         # centre, in monotonic seconds; None if there is none or it is unknown.
         self.outage_since_s: float | None = None
         self._server_list_loaded = False
-        self._was_ready = False
+        self._last_ready = False
         self.stopping_since_s: float | None = None
         self.in_flight = 0
-        self._sleep_meter = boottime.SleepMeter()
+        self._suspend_meter = boottime.SleepMeter()
 
     def apply_settings(self, cfg: settings.Settings) -> None:
         """Applies reloaded settings."""
@@ -102,7 +102,7 @@
         the suspension have taken effect by then, since the clock includes
         suspended time; see ``boottime``.
         """
-        slept_s = self._sleep_meter.slept_s()
+        slept_s = self._suspend_meter.slept_s()
         if not slept_s:
             return
         self.metrics.slept.inc(slept_s)
@@ -140,8 +140,8 @@
         """Returns whether the instance is ready, and logs a change."""
         why = self._why_not_ready()
         ready = not why
-        if ready is not self._was_ready:
-            self._was_ready = ready
+        if ready is not self._last_ready:
+            self._last_ready = ready
             self.metrics.ready.set(ready)
             age_s = self.freshness.age_s(self.now())
             self.log.instance(
--- a/irisshelf/routing/owned/placement.py
+++ b/irisshelf/routing/owned/placement.py
@@ -347,11 +347,13 @@
                 if self._owned_flags[engine]:
                     yield engine, Reason.SPILL
 
-    def _mean(self, more: float) -> float:
+    def _mean(self, extra_work: float) -> float:
         """Returns the fleet-wide mean engine load after adding some work."""
         own = self.totals()
         engines = own.engines + self._remote_totals.engines
-        return (own.work + self._remote_totals.work + more) / max(1, engines)
+        return (own.work + self._remote_totals.work + extra_work) / max(
+            1, engines
+        )
 
     def _is_below(self, engine: int, limit: float) -> bool:
         before = self.loads.estimate(engine)
@@ -387,18 +389,18 @@
         return self._placement(ctx, engine, Reason.OVER_BOUND)
 
     def _least_loaded(self, avoid: frozenset[int]) -> int | None:
-        best: list[int] = []
-        least = math.inf
+        candidates: list[int] = []
+        lowest = math.inf
         for engine in self._owned:
             if not self._available[engine] or engine in avoid:
                 continue
             estimate = self.loads.estimate(engine)
-            if estimate < least:
-                least = estimate
-                best = []
-            if estimate == least:
-                best.append(engine)
-        return self._rng.choice(best) if best else None
+            if estimate < lowest:
+                lowest = estimate
+                candidates = []
+            if estimate == lowest:
+                candidates.append(engine)
+        return self._rng.choice(candidates) if candidates else None
 
     def _remote_engine_below_bound(
         self, ctx: context.Context, avoid: frozenset[int]
