--- a/irisshelf/routing/owned/stream.py
+++ b/irisshelf/routing/owned/stream.py
@@ -2,7 +2,8 @@
 
 Engines label each server-sent event with ``id: ATTEMPT:OFFSET``. A stream is
 complete if every event has the id of the attempt, the offsets are consecutive
-and the end marker comes last. Otherwise the attempt fails.
+and the end marker comes last. Repeated events and keep-alive comments are
+skipped; any other deviation fails the attempt.
 """
 
 from __future__ import annotations
