--- a/irisshelf/routing/direct/__init__.py
+++ b/irisshelf/routing/direct/__init__.py
@@ -1,6 +1,7 @@
-"""Each instance chooses servers by itself.
+"""Server selection by each instance on its own, without coordination.
 
-``server_choice`` picks one, by ``holdings`` (which server has read which parts
-of a ``prompt``) and the ``server_book`` (load, speed, health). ``overload``
-refuses early what would wait too long. ``policy`` switches mechanisms off.
+``server_choice`` selects a server by ``cache_locations`` (which server has
+which parts of a ``prompt`` in its cache) and ``server_stats`` (load, speed,
+health). ``overload`` rejects early the requests that would wait too long.
+``policy`` switches single mechanisms off.
 """
--- a/irisshelf/routing/direct/event_stream.py
+++ b/irisshelf/routing/direct/event_stream.py
@@ -1,7 +1,7 @@
-"""Cuts a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-An event is passed on only when all of it is there: a server may break off in
-the middle of one, and what follows from another server begins anew.
+Only complete events are forwarded: a server may fail in the middle of an event,
+and the response of another server starts with a new one.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 _BLANK_LINES = (b"\n\n", b"\r\n\r\n", b"\r\r")
 _ID = b"id:"
-# Fifteen digits are exact in any number format; an event's number has fewer.
-_MOST_DIGITS = 15
+# Fifteen digits are exact in any number format; event numbers have fewer.
+_MAX_DIGITS = 15
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Event:
-    """One whole event.
+    """A complete event.
 
     Attributes:
-        data: Its bytes, with the blank line that ends it.
-        event_id: Its id; None if it has none that is a whole number.
+        data: Its bytes, including the blank line that terminates it.
+        event_id: Its id; None if it has no id that is a whole number.
     """
 
     data: bytes
@@ -28,7 +28,7 @@
 
 
 class Splitter:
-    r"""Takes bytes as they come and gives whole events.
+    r"""Incremental parser that buffers bytes and returns complete events.
 
     Example:
         >>> splitter = Splitter()
@@ -43,16 +43,16 @@
 
     @property
     def pending(self) -> bytes:
-        """The beginning of an event that is not whole yet."""
+        """Bytes of an event that is not complete yet."""
         return self._buffer
 
     def feed(self, data: bytes) -> list[Event]:
-        """Takes more bytes; returns the events that are now whole."""
+        """Appends bytes to the buffer; returns the events they complete."""
         self._buffer += data
         events = []
         while (end := _end_of_event(self._buffer)) > 0:
-            whole, self._buffer = self._buffer[:end], self._buffer[end:]
-            events.append(Event(data=whole, event_id=_event_id(whole)))
+            event, self._buffer = self._buffer[:end], self._buffer[end:]
+            events.append(Event(data=event, event_id=_event_id(event)))
         return events
 
 
@@ -69,6 +69,6 @@
     for line in event.splitlines():
         if line.startswith(_ID):
             text = line[len(_ID) :].strip()
-            numbered = text.isdigit() and len(text) <= _MOST_DIGITS
-            return int(text) if numbered else None
+            is_number = text.isdigit() and len(text) <= _MAX_DIGITS
+            return int(text) if is_number else None
     return None
--- a/irisshelf/routing/direct/load_limits.py
+++ b/irisshelf/routing/direct/load_limits.py
@@ -1,38 +1,39 @@
-"""How much servers take that have asked for rest.
-
-A server that asks for rest when it is full turns everything away for seconds,
-and its share then fills the others. How many requests may wait at a server is
-written nowhere. So one that has asked for rest gets as many requests as it
-works on at a time and no more waiting ones, and then slowly more: an additive
-increase after a multiplicative decrease, as for any capacity that is unknown.
+"""Load limits of servers that have asked for a backoff.
+
+A server that asks for a backoff when it is full rejects all requests for
+several seconds, and its share of them then fills the other servers. The length
+of a server's queue is not published. A server that has asked for a backoff
+therefore gets as many requests as it has slots and none that wait, and then a
+limit that rises slowly: additive increase after a multiplicative decrease, as
+in congestion control for a path of unknown capacity.
 """
 
 from __future__ import annotations
 
 import math
 
-# In this time the limit rises by as many requests as the server works on.
+# The limit rises by the number of the server's slots in this time.
 _RISE_S = 30.0
-# A limit so many times as high as what the server works on binds no more.
-_MOST = 10.0
+# A limit of so many times the number of slots is lifted.
+_MAX_MULTIPLE = 10.0
 
 
 class LoadLimits:
-    """Limits of the load of servers that have asked for rest."""
+    """Limits the number of requests at servers that asked for a backoff."""
 
     def __init__(self):
-        self._rested_s: dict[str, float] = {}
+        self._backoff_s: dict[str, float] = {}
 
     def record_backoff(self, name: str, now: float) -> None:
-        """Takes that a server asks for rest."""
-        self._rested_s[name] = now
+        """Records that a server has asked for a backoff."""
+        self._backoff_s[name] = now
 
     def limit(self, name: str, slots: int, now: float) -> float:
         """Returns how many requests a server may have.
 
         Args:
             name: The server.
-            slots: Requests that it works on at a time.
+            slots: Requests that it processes concurrently.
             now: Time in seconds.
 
         Example:
@@ -41,16 +42,16 @@
             >>> loads.limit("s-1", 4, 115.0), loads.limit("s-2", 4, 115.0)
             (6.0, inf)
         """
-        rested_s = self._rested_s.get(name)
-        if rested_s is None:
+        backoff_s = self._backoff_s.get(name)
+        if backoff_s is None:
             return math.inf
-        times = 1 + (now - rested_s) / _RISE_S
-        if times >= _MOST:
-            del self._rested_s[name]
+        multiple = 1 + (now - backoff_s) / _RISE_S
+        if multiple >= _MAX_MULTIPLE:
+            del self._backoff_s[name]
             return math.inf
-        return times * max(1, slots)
+        return multiple * max(1, slots)
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forgets servers that are not listed any more."""
-        for name in self._rested_s.keys() - names:
-            del self._rested_s[name]
+        """Removes servers that are no longer listed."""
+        for name in self._backoff_s.keys() - names:
+            del self._backoff_s[name]
--- a/irisshelf/routing/direct/outage.py
+++ b/irisshelf/routing/direct/outage.py
@@ -1,6 +1,6 @@
-"""When callers come back who are refused for something of unknown length.
+"""Retry-After of requests rejected in an outage of unknown length.
 
-The store is away, or all servers are evacuated.
+Such an outage is that of the store, or the evacuation of all servers.
 """
 
 from __future__ import annotations
@@ -9,21 +9,23 @@
 
 # Callers hardly wait longer, whatever they are told: a third of the 12 s that
 # the most patient ones have.
-_LONGEST_S = 4.0
-_SHORTEST_S = 0.1
-# So that they do not all come back at once.
-_SPREAD = (0.75, 1.25)
+_MAX_RETRY_AFTER_S = 4.0
+_MIN_RETRY_AFTER_S = 0.1
+# Jitter factors, so that callers do not all retry at once.
+_JITTER = (0.75, 1.25)
 
 
 def retry_after_s(lasted_s: float, rng: random.Random) -> float:
-    """Returns when to come back, in seconds.
+    """Returns after which time a caller should retry, in seconds.
 
-    A caller tries once more, so that coming back too early is to be refused
-    for good. Of outages of unknown length, half of those that have lasted for
-    some time end before they have lasted twice as long.
+    A caller retries once, so a retry that comes too early fails for good. Of
+    outages of unknown length, half of those that have lasted for some time end
+    before they have lasted twice as long.
 
     Args:
-        lasted_s: How long it has lasted.
-        rng: Spreads callers.
+        lasted_s: How long the outage has lasted.
+        rng: Source of the jitter.
     """
-    return min(max(lasted_s, _SHORTEST_S), _LONGEST_S) * rng.uniform(*_SPREAD)
+    return min(
+        max(lasted_s, _MIN_RETRY_AFTER_S), _MAX_RETRY_AFTER_S
+    ) * rng.uniform(*_JITTER)
--- a/irisshelf/routing/direct/policy.py
+++ b/irisshelf/routing/direct/policy.py
@@ -1,6 +1,6 @@
-"""Mechanisms that can be switched off, and decisions with several ways.
+"""Settings that switch mechanisms off or select one of several strategies.
 
-Both are settings, so that what each is worth can be measured.
+Each mechanism is a setting so that its effect can be measured by itself.
 """
 
 from __future__ import annotations
@@ -14,29 +14,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Policy:
-    """What an instance does beyond passing requests on; all on by default.
+    """Mechanisms beyond plain forwarding of requests; all on by default.
 
     Attributes:
-        near_homes: Shared parts are copied to a home in the own data centre.
-        fetches: Servers are told who holds the shared parts that they lack.
-        load_bound: A server far above the mean load passes its turn.
-        rests: Servers that fail requests get none for a while.
-        patience: Requests that may run again leave a silent server.
-        second_sends: Requests are sent again after a failure.
-        retry_budget: Second sends are bounded by a share of the requests.
-        reach: Silent and lost servers are asked for connections.
-        gossip: Instances tell each other of servers' loads and prompts.
-        admission: Requests that would wait too long are refused at once.
-        gathering: After a change in the store, the next call waits a little.
-        shared_watch: One instance of a data centre asks the store for all.
-        turned_away: A server that turns requests away though it has free places
-            is one that fails them.
-        fresh_connections: Requests that may run once go only on connections
-            that were in use just now.
-        sources: How a server is found to fetch shared parts from.
-        stale_load: How a server is chosen by old reports of load.
-        full_loads: Servers that have asked for rest get less load afterwards.
-        unknown_speed: What is assumed of servers that have answered nothing.
+        near_homes: Shared parts are copied to a home in the instance's own data
+            centre.
+        fetches: Servers are told which server has the shared parts that they
+            lack.
+        load_bound: A server far above the mean load is skipped.
+        rests: Servers that fail requests are ejected for a while.
+        patience: Requests that may run again are moved away from a server that
+            does not respond.
+        second_sends: Requests are retried after a failure.
+        retry_budget: Retries are limited to a share of the requests.
+        reach: Unresponsive and unreachable servers are probed for connections.
+        gossip: Instances exchange servers' loads and cached prompt parts.
+        admission: Requests that would wait too long are rejected at once.
+        gathering: After a change in the store, the next call waits a little, so
+            that several changes are read together.
+        shared_watch: One instance of a data centre polls the store for all.
+        turned_away: A server that rejects requests although it has free slots
+            counts as failing them.
+        fresh_connections: Requests that must not run twice are sent only on
+            connections that were in use a moment ago.
+        sources: How the server to fetch shared parts from is selected.
+        stale_load: How a server is selected by load reports of some age.
+        full_loads: Servers that have asked for a backoff get less load
+            afterwards.
+        unknown_speed: Assumed speed of servers that have not responded yet.
     """
 
     near_homes: bool = True
--- a/irisshelf/routing/direct/prompt.py
+++ b/irisshelf/routing/direct/prompt.py
@@ -1,4 +1,4 @@
-"""What a request tells of its prompt: parts that requests may share."""
+"""The parts of a request's prompt, some of which other requests may share."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Part:
-    """One part of a prompt, named by the hash of its content."""
+    """One part of a prompt, identified by the hash of its content."""
 
     part_id: str
     tokens: int
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Prompt:
-    """A prompt's parts in order; the last is the request's own.
+    """The parts of a prompt in order; the last one is specific to the request.
 
     Attributes:
         parts: All parts; empty for requests without a prompt.
-        max_answer_tokens: Most tokens of the answer.
+        max_answer_tokens: Upper limit of the response's length in tokens.
     """
 
     parts: tuple[Part, ...] = ()
@@ -32,10 +32,13 @@
 
     @property
     def affinity_key(self) -> str:
-        """Names what requests with the same shared parts have in common."""
+        """Key by which requests with the same shared parts are placed.
+
+        The id of the last shared part; empty if there is none.
+        """
         return self.parts[-2].part_id if len(self.parts) > 1 else ""
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the shared parts."""
+        """Number of tokens of the shared parts."""
         return sum(part.tokens for part in self.shared)
--- a/irisshelf/routing/direct/server_choice.py
+++ b/irisshelf/routing/direct/server_choice.py
@@ -301,7 +301,7 @@
             pool,
             self.stats,
             data_centre=self._data_centre,
-            way=self._policy.unknown_speed,
+            strategy=self._policy.unknown_speed,
             now=now,
         )
         spreads = self._policy.stale_load is stale_load.Strategy.SPREAD
--- a/irisshelf/routing/direct/unknown_speed.py
+++ b/irisshelf/routing/direct/unknown_speed.py
@@ -1,12 +1,13 @@
-"""What is assumed of the speed of servers that have answered nothing yet.
+"""Assumed speed of servers that have not responded yet.
 
-A server that is new to an instance shows how fast it is only once it gets a
-request. Two ways:
+A server that is new to an instance shows its speed only with its first request.
+There are two strategies:
 
-- *fixed*: it is assumed to take a fixed time. Beside neighbours that are faster
-  than that it never gets a request, and beside slower ones it gets them all.
-- *fastest*: it is assumed to be as fast as the fastest of its neighbours, for
-  one request at a time; while that is on its way, as slow as the slowest.
+- *fixed*: it is assumed to take a fixed time. Next to servers that are faster
+  it never gets a request, and next to slower ones it gets all of them.
+- *fastest*: it is assumed to be as fast as the fastest server of the service
+  as long as it has no request of this instance; while it has one, as slow as
+  the slowest.
 """
 
 from __future__ import annotations
@@ -16,38 +17,41 @@
 
 # The fixed time.
 _FIXED_S = 0.02
-# Where nobody has answered yet, any time makes them equal.
+# If no server has responded yet, any value makes all of them equal.
 _ANY_S = 1.0
 
 
 class Strategy(enum.StrEnum):
-    """What is assumed."""
+    """Which speed is assumed."""
 
     FIXED = "fixed"
     FASTEST = "fastest"
 
 
 def fill_unknown(
-    way: Strategy, times_s: Mapping[str, float], under_way: Mapping[str, int]
+    strategy: Strategy,
+    durations_s: Mapping[str, float],
+    in_flight: Mapping[str, int],
 ) -> dict[str, float]:
-    """Returns the time that each server is expected to take.
+    """Returns the expected response time of each server.
 
     Args:
-        way: What is assumed of servers that have answered nothing.
-        times_s: Average time to answer by server; 0 for those.
-        under_way: Requests of this instance that each has now.
+        strategy: Which speed to assume for servers that have not responded.
+        durations_s: Average response time by server; 0 if it has not responded.
+        in_flight: Requests that this instance has at each server now.
 
     Example:
-        >>> fill_unknown(Strategy.FASTEST, {"a": 0.2, "b": 0.0}, {"a": 1, "b": 0})
+        >>> in_flight = {"a": 1, "b": 0}
+        >>> fill_unknown(Strategy.FASTEST, {"a": 0.2, "b": 0.0}, in_flight)
         {'a': 0.2, 'b': 0.2}
     """
-    known_s = [time_s for time_s in times_s.values() if time_s]
-    if way is Strategy.FIXED:
+    known_s = [duration_s for duration_s in durations_s.values() if duration_s]
+    if strategy is Strategy.FIXED:
         fastest_s = slowest_s = _FIXED_S
     else:
         fastest_s = min(known_s, default=_ANY_S)
         slowest_s = max(known_s, default=_ANY_S)
     return {
-        name: time_s or (slowest_s if under_way[name] else fastest_s)
-        for name, time_s in times_s.items()
+        name: duration_s or (slowest_s if in_flight[name] else fastest_s)
+        for name, duration_s in durations_s.items()
     }
