--- a/irisshelf/routing/direct/availability.py
+++ b/irisshelf/routing/direct/availability.py
@@ -1,14 +1,15 @@
-"""Whether backend servers take requests, by what they say of themselves.
-
-What a server itself said last goes before what the store's list says of it: an
-entry may be older, whenever it is read. A life that leaves never returns, so
-that neither time nor an entry lifts it; a server that starts again is another
-life. A rest ends by time, for each instance a little later than asked so that
-they do not all return at once. Then the server gets a single request at a time
-until one is answered.
-
-What another instance has been told is taken for a short time only, as it may
-be wrong; afterwards the server is asked by a single request as well.
+"""Availability of backend servers, by what they say in their responses.
+
+What a server itself said last takes precedence over its entry in the store's
+list, which may be older whenever it is read. An incarnation of a server that
+has announced its shutdown never becomes available again, neither after a time
+nor by an entry; a restarted server is another incarnation. A backoff ends after
+the requested time plus a jitter that differs between instances, so that they do
+not all return at once. The server then gets a single trial request at a time
+until one succeeds.
+
+A pause reported by another instance is limited to a short time, since it may be
+wrong; the server then gets a single trial request as well.
 """
 
 from __future__ import annotations
@@ -19,23 +20,22 @@
 import math
 import random
 
-# Lives that leave and are remembered, the latest ones.
-_MOST_LEAVING = 2000
-# How much later than asked a rest ends at the most: a share of it, and seconds.
-_SPREAD = 0.2
-_LONGEST_SPREAD_S = 1.0
-# A server that does not answer the request after its rest in this time gets
-# another one.
-_TRIAL_S = 1.0
-# An address that belongs to another server is tried again: the entry is dropped
-# or written anew by then.
+# Number of incarnations remembered as leaving; the oldest are dropped.
+_MAX_LEAVING = 2000
+# Upper limits of the jitter added to a backoff: a share of it, and seconds.
+_JITTER_SHARE = 0.2
+_MAX_JITTER_S = 1.0
+# If a trial request gets no response in this time, another one is sent.
+_TRIAL_TIMEOUT_S = 1.0
+# If another server responds at a server's address, the address is tried again
+# after this time; the stale entry has been removed or rewritten by then.
 _ABSENT_S = 1.0
-# How long what another instance has been told holds at the most.
+# Upper limit of a pause that another instance reports.
 MAX_PEER_PAUSE_S = 2.0
 
 
 class Reason(enum.StrEnum):
-    """Why a server takes no request now."""
+    """Why a server is unavailable."""
 
     LEAVING = "leaving"
     BACKOFF = "resting"
@@ -45,11 +45,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Block:
-    """A server that takes no request.
+    """The reason and the remaining time for which a server is unavailable.
 
     Attributes:
         reason: Why.
-        remaining_s: For how long; infinite if for good.
+        remaining_s: For how long; infinite if permanently.
     """
 
     reason: Reason
@@ -60,14 +60,14 @@
 class _Pause:
     reason: Reason
     until_s: float
-    tried_s: float = -math.inf
+    trial_sent_s: float = -math.inf
 
 
 class Availability:
-    """What one instance knows of servers that want no requests.
+    """Which servers take requests, as far as one instance knows.
 
     Args:
-        rng: Spreads the ends of rests.
+        rng: Source of the jitter of backoffs.
     """
 
     def __init__(self, *, rng: random.Random):
@@ -78,41 +78,43 @@
         self._pauses: dict[str, _Pause] = {}
 
     def mark_leaving(self, server_id: str) -> bool:
-        """Takes that a life leaves.
+        """Records that an incarnation of a server shuts down.
 
         Returns:
-            Whether that was not known.
+            Whether that was not known yet.
         """
         known = server_id in self._leaving
         self._leaving[server_id] = None
-        if len(self._leaving) > _MOST_LEAVING:
+        if len(self._leaving) > _MAX_LEAVING:
             self._leaving.popitem(last=False)
         return not known
 
     def is_leaving(self, server_id: str) -> bool:
-        """Tells whether a life has said that it leaves."""
+        """Tells whether an incarnation has announced its shutdown."""
         return server_id in self._leaving
 
-    def record_backoff(self, server_id: str, rest_s: float, now: float) -> bool:
-        """Takes that a server wants nothing for some time.
+    def record_backoff(
+        self, server_id: str, backoff_s: float, now: float
+    ) -> bool:
+        """Records that a server has asked for a backoff.
 
         Args:
             server_id: The server.
-            rest_s: For how long, in seconds.
+            backoff_s: The requested time, in seconds.
             now: Time in seconds.
 
         Returns:
-            Whether it took requests before.
+            Whether the server was available before.
         """
-        spread_s = min(_SPREAD * rest_s, _LONGEST_SPREAD_S)
-        until_s = now + rest_s + self._rng.uniform(0.0, spread_s)
+        jitter_s = min(_JITTER_SHARE * backoff_s, _MAX_JITTER_S)
+        until_s = now + backoff_s + self._rng.uniform(0.0, jitter_s)
         return self._pause(server_id, Reason.BACKOFF, until_s, now)
 
     def mark_absent(self, server_id: str, now: float) -> bool:
-        """Takes that another server answers at a server's address.
+        """Records that another server responds at a server's address.
 
         Returns:
-            Whether the server took requests before.
+            Whether the server was available before.
         """
         until_s = now + _ABSENT_S
         return self._pause(server_id, Reason.ABSENT, until_s, now)
@@ -120,11 +122,11 @@
     def record_peer_pause(
         self, server_id: str, remaining_s: float, now: float
     ) -> None:
-        """Takes what another instance says of a server.
+        """Records a pause of a server that another instance reports.
 
         Args:
             server_id: The server.
-            remaining_s: For how long the server takes no request.
+            remaining_s: For how long the server is unavailable.
             now: Time in seconds.
         """
         if remaining_s > 0 and server_id not in self._pauses:
@@ -132,7 +134,7 @@
             self._pause(server_id, Reason.PEER, until_s, now)
 
     def block(self, server_id: str, now: float) -> Block | None:
-        """Returns why a server takes no request; None if it takes one.
+        """Returns why a server is unavailable; None if it is available.
 
         Example:
             >>> known = Availability(rng=random.Random(1))
@@ -146,27 +148,27 @@
         pause = self._pauses.get(server_id)
         if pause is None:
             return None
-        until_s = max(pause.until_s, pause.tried_s + _TRIAL_S)
+        until_s = max(pause.until_s, pause.trial_sent_s + _TRIAL_TIMEOUT_S)
         if now >= until_s:
             return None
         return Block(reason=pause.reason, remaining_s=until_s - now)
 
     def record_sent(self, server_id: str, now: float) -> None:
-        """Takes that a request goes to a server."""
+        """Records that a request is sent to a server."""
         pause = self._pauses.get(server_id)
         if pause is not None:
-            pause.tried_s = now
+            pause.trial_sent_s = now
 
     def record_answer(self, server_id: str, sent_s: float) -> bool:
-        """Takes that a server has answered, and asked for nothing.
+        """Records a response of a server that asks for no pause.
 
         Args:
             server_id: The server.
-            sent_s: When the request was sent; one that was sent before a rest
-                says nothing of the time after.
+            sent_s: When the request was sent. The response to a request from
+                before the end of a pause does not end the pause.
 
         Returns:
-            Whether the server takes requests again because of it.
+            Whether the server is available again because of it.
         """
         pause = self._pauses.get(server_id)
         if pause is None or sent_s < pause.until_s:
@@ -175,9 +177,9 @@
         return True
 
     def retain(self, names: frozenset[str], now: float) -> None:
-        """Forgets pauses that are over of servers that are not listed any more.
+        """Removes expired pauses of servers that are no longer listed.
 
-        Entries come back, so that nothing else is forgotten with them.
+        Everything else is kept, since an entry may return to the list.
         """
         for name in self._pauses.keys() - names:
             if now >= self._pauses[name].until_s:
--- a/irisshelf/routing/direct/cold_start.py
+++ b/irisshelf/routing/direct/cold_start.py
@@ -1,21 +1,23 @@
-"""Servers that have just started, or are cold again: how much they get.
-
-A cold server bears a few requests a second and falls over at well above that.
-The bound is on what all instances together send it, and instances know each
-other by datagrams only, so that no count of what has been sent can be shared in
-time. What can be shared is a ranking: for each cold server the first few of the
-instances of its own data centre are its *senders*, and each of them sends at
-intervals that hold whatever the others do. All others send it nothing.
-
-Instances that know different members for a while have different senders. So the
-senders by one list send half of the bound at the most: two lists without a
-sender in common, as in a data centre that is split, keep it together. An
+"""Rate limits of cold servers, which have just started or are cold again.
+
+A cold server handles a few requests a second and fails at well above that rate.
+The limit applies to the requests of all instances together. Instances exchange
+only datagrams, so they cannot share a count of the requests sent in time. They
+share a ranking instead: for each cold server, the first few of the instances in
+its data centre are its *senders*. Each sender keeps an interval between its
+requests that meets the limit whatever the other senders do. All other instances
+send nothing.
+
+Instances whose lists of members differ for a while select different senders.
+The senders by one list therefore use at most half of the limit: two lists
+without a common sender, as in a partitioned data centre, meet it together. An
 instance that may be the one that is cut off does not count itself among the
-senders, see ``coordination.data_centre``.
+senders, see ``coordination.local_membership``.
 
-Ways that do not hold: a share of the rate for each member has a request each
-to begin with, which is 73 at once from 73 instances where 18 are allowed; a
-rising share of the server's own prompts has no bound under a hot prompt.
+Alternatives that exceed the limit: with a share of the rate for each member,
+every member may send one request at the start, which is 73 at once from 73
+instances where 18 are allowed; a growing share of the prompts placed on the
+server is not limited if one of them is hot.
 """
 
 from __future__ import annotations
@@ -28,21 +30,21 @@
 
 from irisshelf.catalog import directory
 
-# The bound is on any second; two sends so far apart do not fall into one,
-# though the way of the first takes longer than that of the second.
-_APART_S = 1.1
-# Lists of members without a sender in common that keep the bound together.
-_LISTS = 2
+# The limit applies to any second. Two requests sent so far apart do not arrive
+# within one second, even if the first one takes longer to arrive.
+_MIN_INTERVAL_S = 1.1
+# Number of member lists without a common sender that meet the limit together.
+_MAX_DISJOINT_LISTS = 2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Bounds:
-    """What a cold server of a service may get.
+    """Limits of the requests to a cold server of a service.
 
     Attributes:
-        per_s: Requests a second that it bears.
-        max_in_any_second: Requests that may reach it in any second, of all
-            instances together.
+        requests_per_s: Average rate that it can handle.
+        max_in_any_second: Upper limit of the requests of all instances together
+            that may reach it in any second.
     """
 
     requests_per_s: float
@@ -51,11 +53,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Share:
-    """What one sender may send to one cold server.
+    """The share of the limits that each sender has at one cold server.
 
     Attributes:
-        senders: How many instances send.
-        interval_s: From one request to the next; infinite for none.
+        senders: Number of instances that send.
+        interval_s: Interval between requests of a sender; infinite if it may
+            send none.
     """
 
     senders: int
@@ -63,19 +66,19 @@
 
 
 def share(bounds: Bounds, members: int) -> Share:
-    """Returns the share of each sender among so many instances.
+    """Returns the share of each sender, given the number of instances.
 
     Example:
         >>> share(Bounds(requests_per_s=2.0, max_in_any_second=8.0), 24)
         Share(senders=4, interval_s=2.0)
     """
-    most = math.floor(bounds.max_in_any_second / _LISTS)
-    senders = min(most, members)
+    limit = math.floor(bounds.max_in_any_second / _MAX_DISJOINT_LISTS)
+    senders = min(limit, members)
     if senders <= 0 or bounds.requests_per_s <= 0:
         return Share(senders=0, interval_s=math.inf)
-    each_in_a_second = most // senders
+    sender_limit = limit // senders
     interval_s = max(
-        _APART_S / each_in_a_second, senders / bounds.requests_per_s
+        _MIN_INTERVAL_S / sender_limit, senders / bounds.requests_per_s
     )
     return Share(senders=senders, interval_s=interval_s)
 
@@ -84,7 +87,7 @@
     """Which servers are cold, and when this instance may send to them.
 
     Args:
-        own: This instance's name.
+        own: Name of this instance.
     """
 
     def __init__(self, *, own: str):
@@ -95,35 +98,35 @@
     def record_cold_time(
         self, server_id: str, remaining_s: float, now: float
     ) -> None:
-        """Takes how long a server stays cold, as it reports it.
+        """Records for how long a server reports to stay cold.
 
         Args:
             server_id: The server.
-            remaining_s: 0 if it is not cold.
+            remaining_s: Remaining time; 0 if it is not cold.
             now: Time in seconds.
         """
         if remaining_s <= 0:
-            self._forget(server_id)
+            self._remove(server_id)
             return
-        self._begin(server_id, now)
+        self._start(server_id, now)
         self._until_s[server_id] = now + remaining_s
 
     def assume_cold(
         self, server_id: str, remaining_s: float, now: float
     ) -> None:
-        """Takes that a server may be cold, though it has not said so."""
+        """Treats a server as cold although it has not reported that."""
         if remaining_s > 0:
-            self._begin(server_id, now)
+            self._start(server_id, now)
             known_s = self._until_s.get(server_id, -math.inf)
             self._until_s[server_id] = max(known_s, now + remaining_s)
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forgets servers that are not listed any more."""
+        """Removes servers that are no longer listed."""
         for name in self._until_s.keys() - names:
-            self._forget(name)
+            self._remove(name)
 
     def remaining_s(self, server_id: str, now: float) -> float:
-        """Returns how long a server stays cold; 0 if it is not."""
+        """Returns for how long a server stays cold; 0 if it is not."""
         return max(0.0, self._until_s.get(server_id, -math.inf) - now)
 
     def split(
@@ -131,12 +134,12 @@
     ) -> tuple[
         Sequence[directory.BackendServer], Sequence[directory.BackendServer]
     ]:
-        """Returns the servers that are warm and those that are cold."""
+        """Splits servers into warm and cold ones."""
         if not self._until_s:
             return servers, ()
         cold = [s for s in servers if self.remaining_s(s.server_id, now) > 0]
         if not cold:
-            self._forget_warm(now)
+            self._remove_warm(now)
             return servers, ()
         names = {server.server_id for server in cold}
         return [s for s in servers if s.server_id not in names], cold
@@ -148,17 +151,18 @@
         members: tuple[str, ...],
         now: float,
     ) -> float:
-        """Returns when this instance may send a cold server a request.
+        """Returns when this instance may send the next request to a server.
 
         Args:
-            server_id: The server.
-            bounds: What it may get.
-            members: Names of the instances of its data centre, this one
-                included; empty if they are not known well enough.
+            server_id: A cold server.
+            bounds: Its limits.
+            members: Names of the instances in its data centre, including this
+                one; empty if they are not known reliably.
             now: Time in seconds.
 
         Returns:
-            Seconds from now; infinite if this instance is none of its senders.
+            Seconds from now; infinite if this instance is not one of the
+            server's senders.
         """
         allowed = share(bounds, len(members))
         if self._own not in _ranked(server_id, members)[: allowed.senders]:
@@ -168,20 +172,23 @@
     def record_sent(
         self, server_id: str, bounds: Bounds, members: int, now: float
     ) -> None:
-        """Takes that this instance sends a cold server a request."""
+        """Records that this instance sends a request to a cold server."""
         interval_s = share(bounds, members).interval_s
         self._next_s[server_id] = now + interval_s
 
-    def _begin(self, server_id: str, now: float) -> None:
-        """Lets what was sent to a server while it was warm pass first."""
+    def _start(self, server_id: str, now: float) -> None:
+        """Delays the first request to a server that was warm until now.
+
+        Requests sent while it was warm may still be on their way.
+        """
         if not self.remaining_s(server_id, now):
-            self._next_s[server_id] = now + _APART_S
+            self._next_s[server_id] = now + _MIN_INTERVAL_S
 
-    def _forget_warm(self, now: float) -> None:
+    def _remove_warm(self, now: float) -> None:
         for name in [n for n, t in self._until_s.items() if t <= now]:
-            self._forget(name)
+            self._remove(name)
 
-    def _forget(self, server_id: str) -> None:
+    def _remove(self, server_id: str) -> None:
         self._until_s.pop(server_id, None)
         self._next_s.pop(server_id, None)
 
--- a/irisshelf/routing/direct/server_choice.py
+++ b/irisshelf/routing/direct/server_choice.py
@@ -1,15 +1,16 @@
-"""Chooses a backend server for a request.
-
-Requests that share the parts of a prompt belong to one server a data centre,
-its first in the rendezvous ranking of the last shared part: every instance
-ranks alike from the same list without messages, and a server that comes or goes
-moves only the parts that were, or are to be, its own; whoever takes parts over
-fetches them from a holder. Parts are read once, by the first in the ranking of
-all. Where answers are long against the parts, other data centres' homes fetch
-them from there when they first need them, so that a data centre that is cut off
-takes no answers of others with it. A server at its load bound passes its turn
-to the next, which fetches the parts from it. Requests without shared parts go
-to the server that is expected to answer first.
+"""Selects a backend server for a request.
+
+Requests that share parts of a prompt go to one server in each data centre, its
+first in the rendezvous ranking of the last shared part (its *home* there). All
+instances compute the same ranking from the same list without messages. A server
+that is added or removed moves only the parts of which it becomes or was the
+home; the new home fetches them from a server that has them cached. Parts are
+processed once, by the first server in the ranking of all data centres. If
+responses are long in relation to the parts, the homes in other data centres
+fetch the parts from there on first use, so that a data centre that is cut off
+does not interrupt responses of others. A server at its load bound is skipped in
+favour of the next one, which fetches the parts from it. Requests without shared
+parts go to the server with the lowest expected response time.
 """
 
 from __future__ import annotations
@@ -32,33 +33,36 @@
 from irisshelf.routing.direct import server_stats
 from irisshelf.routing.direct import stale_load
 
-# No server may hold more than this multiple of its service's mean and so many
-# more, idle servers included, unless all that take requests hold as much.
+# No server may have more requests than this multiple of its service's mean load
+# (idle servers included) plus the constant, unless all servers that take
+# requests have as many.
 CAP_FACTOR = 2.0
 CAP_EXTRA = 3.0
-# A server takes requests up to a multiple of the mean load, and so many more,
-# since small loads are lumpy. Prompts whose shared parts are dear to move may
-# go further than others.
+# A server takes requests up to a multiple of the mean load plus a constant,
+# since small loads vary in whole requests. The bound is higher for prompts
+# whose shared parts are expensive to move.
 LOAD_FACTOR = 1.6
 LOAD_EXTRA = 2.0
 LONG_LOAD_FACTOR = 1.75
 LONG_LOAD_EXTRA = 2.5
 LONG_PREFIX_TOKENS = 2000
-# Where few servers take all, each is above a bound by the mean of all; they
-# keep to what is even among them, so that prompts still find their homes.
-_EVEN = 1.1
-# A server that was first sent a part so long ago has read it, and can hand it
-# on: the longest prompts, 30,000 tokens, take 0.6 s to read, more in company.
+# If few servers take all requests, each exceeds a bound by the mean of all
+# servers. Their bound is then a multiple of the mean among themselves, so that
+# requests still go to the homes of their prompts.
+_ACTIVE_MEAN_FACTOR = 1.1
+# A server that was first sent a part this long ago has processed it and can
+# serve it to others: the longest prompts, 30,000 tokens, take 0.6 s to process,
+# and longer next to other requests.
 PREFILL_S = 1.0
-# A home in the caller's own data centre protects the answer in the making from
-# a cut between data centres, the more the longer the answer; it costs a copy of
-# the shared parts. It is made where a token of the answer protects no more than
-# so many shared tokens.
-_COPIED_PER_ANSWER_TOKEN = 4
+# A home in the caller's own data centre protects a response in progress from a
+# network partition between data centres; the longer the response, the greater
+# the benefit. It costs a copy of the shared parts, so it is used only if the
+# shared tokens are at most this multiple of the tokens of the response.
+_MAX_COPIED_PER_ANSWER_TOKEN = 4
 
 
 class Reason(enum.StrEnum):
-    """Why a server was chosen."""
+    """Why a server was selected."""
 
     HELD = "held"
     HOME = "home"
@@ -70,18 +74,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Choice:
-    """The server chosen, why, and what decided.
+    """The selected server, and what the selection is based on.
 
     Attributes:
         server: The server.
-        reason: Why.
-        load: Its estimated load, in requests; without shared parts, that of the
-            least loaded server by its report.
-        mean_load: The mean of its service.
-        report_age_s: Age of the server's last report of its load.
-        full: Whether one more request is more than it is known to take.
-        source: A server that is thought to hold the shared parts, if the
-            chosen one is not.
+        reason: Why it was selected.
+        load: Its estimated load, in requests; for requests without shared
+            parts, the reported load of the least loaded server.
+        mean_load: Mean load of its service.
+        report_age_s: Age of the server's last load report.
+        full: Whether one more request exceeds its load limit.
+        source: A server that probably has the shared parts cached, if the
+            selected one does not.
     """
 
     server: directory.BackendServer
@@ -94,12 +98,12 @@
 
 
 class Chooser:
-    """Chooses among the servers of one service.
+    """Selects servers of one service.
 
     Args:
-        data_centre: Where this instance stands.
+        data_centre: The data centre of this instance.
         rng: Breaks ties.
-        policy: Mechanisms that are switched on.
+        policy: Mechanisms that are switched on, and strategies.
     """
 
     def __init__(
@@ -119,53 +123,55 @@
     def choose(
         self,
         servers: Sequence[directory.BackendServer],
-        asked: prompt.Prompt,
+        requested: prompt.Prompt,
         *,
         avoid: frozenset[str],
         now: float,
         sources: Sequence[directory.BackendServer] | None = None,
         idle: Sequence[directory.BackendServer] = (),
     ) -> Choice | None:
-        """Chooses a server, or None if there is none.
+        """Selects a server; None if there is none.
 
         Args:
             servers: Servers of the service that may get the request.
-            asked: The request's prompt.
+            requested: The request's prompt.
             avoid: Servers that have failed this request.
             now: Time in seconds.
-            sources: Servers that may serve the prompt's shared parts; the
-                same as ``servers`` without.
-            idle: Further servers of the service that get nothing now; the
-                load bound is a multiple of the mean of all.
+            sources: Servers that may serve the prompt's shared parts; by
+                default the same as ``servers``.
+            idle: Further servers of the service, which get no requests now. The
+                load bound is a multiple of the mean over all servers.
         """
         sources = servers if sources is None else sources
         ready = _ready(servers, avoid)
         if not ready:
             return None
-        fit = self._fit(ready, now)
-        pool = fit or ready
-        if asked.affinity_key:
-            choice = self._by_subject(pool, asked, sources, idle, now)
+        available = self._available(ready, now)
+        pool = available or ready
+        if requested.affinity_key:
+            choice = self._by_affinity(pool, requested, sources, idle, now)
         else:
             choice = self._fastest(pool, now)
-        if not fit:
+        if not available:
             choice = dataclasses.replace(choice, reason=Reason.LAST_RESORT)
         return choice
 
-    def _fit(
+    def _available(
         self, servers: Sequence[directory.BackendServer], now: float
     ) -> list[directory.BackendServer]:
         return [s for s in servers if self.stats.is_available(s.server_id, now)]
 
     def record_sent(
-        self, asked: prompt.Prompt, server_id: str, now: float
+        self, requested: prompt.Prompt, server_id: str, now: float
     ) -> list[bytes]:
-        """Remembers that a server holds a prompt's shared parts.
+        """Records that a server caches a prompt's shared parts.
 
         Returns:
-            Keys of the parts that other instances should be told of.
+            Keys of the parts to announce to other instances.
         """
-        keys = [cache_locations.part_key(part.part_id) for part in asked.shared]
+        keys = [
+            cache_locations.part_key(part.part_id) for part in requested.shared
+        ]
         for key in keys:
             self.cache_locations.record(key, server_id, now)
         return [
@@ -187,9 +193,10 @@
         part_id: str,
         now: float,
     ) -> dict[str, cache_locations.CacheEntry]:
-        """Returns the holders of a part that can hand it on.
+        """Returns the servers that have a part cached and can serve it.
 
-        Leaving ones can, and so can those that rest as they fail requests.
+        Servers that are shutting down can, and so can those that are ejected
+        because they fail requests.
         """
         listed = {s.server_id for s in servers}
         held = self._holders_of(part_id, now)
@@ -199,10 +206,10 @@
             if name in listed and not self.stats.is_unreachable(name)
         }
 
-    def _by_subject(
+    def _by_affinity(
         self,
         pool: Sequence[directory.BackendServer],
-        asked: prompt.Prompt,
+        requested: prompt.Prompt,
         sources: Sequence[directory.BackendServer],
         idle: Sequence[directory.BackendServer],
         now: float,
@@ -211,29 +218,32 @@
         total = sum(loads.values())
         total += sum(self.stats.load(s.server_id, now) for s in idle)
         mean = total / (len(loads) + len(idle))
-        held = self._reachable_holders(sources, asked.affinity_key, now)
-        ranked = self._by_preference(pool, asked, held, now)
-        bound = self._load_bound(asked, loads, mean)
-        server, reason = self._within(bound, ranked, held, loads, now)
+        held = self._reachable_holders(sources, requested.affinity_key, now)
+        ranked = self._by_preference(pool, requested, held, now)
+        bound = self._load_bound(requested, loads, mean)
+        server, reason = self._first_within(bound, ranked, held, loads, now)
         return self._choice(
             server,
             reason,
             loads[server.server_id],
             mean,
             now,
-            source=self._source(sources, server, asked, now),
+            source=self._source(sources, server, requested, now),
         )
 
     def _load_bound(
-        self, asked: prompt.Prompt, loads: dict[str, float], mean: float
+        self, requested: prompt.Prompt, loads: dict[str, float], mean: float
     ) -> float:
         if not self._policy.load_bound:
             return math.inf
-        own_mean = sum(loads.values()) / len(loads)
-        bound = max(_bound(asked, mean), _EVEN * own_mean + LOAD_EXTRA)
+        active_mean = sum(loads.values()) / len(loads)
+        bound = max(
+            _bound(requested, mean),
+            _ACTIVE_MEAN_FACTOR * active_mean + LOAD_EXTRA,
+        )
         return min(bound, CAP_FACTOR * mean + CAP_EXTRA)
 
-    def _within(
+    def _first_within(
         self,
         bound: float,
         ranked: Sequence[directory.BackendServer],
@@ -241,56 +251,56 @@
         loads: dict[str, float],
         now: float,
     ) -> tuple[directory.BackendServer, Reason]:
-        for place, server in enumerate(ranked):
-            most = min(bound, self._most(server, now))
-            if loads[server.server_id] + 1 <= most:
-                return server, _reason(server, place, held)
+        for rank, server in enumerate(ranked):
+            limit = min(bound, self._load_limit(server, now))
+            if loads[server.server_id] + 1 <= limit:
+                return server, _reason(server, rank, held)
         least = min(ranked, key=lambda s: loads[s.server_id])
         return least, Reason.LEAST_LOADED
 
     def _by_preference(
         self,
         pool: Sequence[directory.BackendServer],
-        asked: prompt.Prompt,
+        requested: prompt.Prompt,
         held: dict[str, cache_locations.CacheEntry],
         now: float,
     ) -> list[directory.BackendServer]:
-        """Sorts servers as they are ranked, but the near home first.
+        """Sorts servers by rank, but the home in the own data centre first.
 
-        There is one once it can fetch the parts from somebody.
+        There is such a home only once it can fetch the parts from a server.
         """
-        ranked = ranking.rank(pool, asked.affinity_key)
+        ranked = ranking.rank(pool, requested.affinity_key)
         home = None
         if self._policy.near_homes and any(
             now - one.first_sent_s >= PREFILL_S for one in held.values()
         ):
-            home = _home(ranked, asked, self._data_centre)
+            home = _home(ranked, requested, self._data_centre)
         return sorted(ranked, key=lambda server: server is not home)
 
     def _source(
         self,
         servers: Sequence[directory.BackendServer],
-        chosen: directory.BackendServer,
-        asked: prompt.Prompt,
+        selected: directory.BackendServer,
+        requested: prompt.Prompt,
         now: float,
     ) -> directory.BackendServer | None:
-        """Finds who may hold the shared parts that the chosen one lacks.
+        """Returns a server that may have the parts the selected one lacks.
 
-        Leaving servers still hand out what they hold.
+        Servers that are shutting down still serve fetches.
         """
         if not self._policy.fetches:
             return None
         others = [
             s
             for s in servers
-            if s.server_id != chosen.server_id
+            if s.server_id != selected.server_id
             and not self.stats.is_unreachable(s.server_id)
         ]
         return fetch_source.choose(
             self._policy.sources,
             others,
-            chosen,
-            asked,
+            selected,
+            requested,
             lambda part_id: self._holders_of(part_id, now),
         )
 
@@ -304,15 +314,15 @@
             strategy=self._policy.unknown_speed,
             now=now,
         )
-        spreads = self._policy.stale_load is stale_load.Strategy.SPREAD
-        unseen = stale_load.estimate_unreported(costs) if spreads else 0.0
-        added = stale_load.spread_unreported(costs, unseen)
+        estimates = self._policy.stale_load is stale_load.Strategy.SPREAD
+        unreported = stale_load.estimate_unreported(costs) if estimates else 0.0
+        added = stale_load.spread_unreported(costs, unreported)
         known = {one.name: one.known_requests for one in costs}
         loads = {name: known[name] + added[name] for name in known}
         open_names = {
             server.server_id
             for server in pool
-            if loads[server.server_id] + 1 <= self._most(server, now)
+            if loads[server.server_id] + 1 <= self._load_limit(server, now)
         }
         open_costs = [one for one in costs if one.name in open_names]
         name = stale_load.choose(open_costs or costs, added, self._rng)
@@ -320,13 +330,13 @@
         mean = sum(loads.values()) / len(loads)
         return dataclasses.replace(
             self._choice(server, Reason.FASTEST, loads[name], mean, now),
-            # Nobody is refused for work that is only assumed, nor for a wait
-            # that is shorter elsewhere.
+            # Requests are not rejected for load that is only estimated, nor for
+            # a wait that is shorter at another server.
             load=min(self.stats.loads(list(known), now).values()),
         )
 
-    def _most(self, server: directory.BackendServer, now: float) -> float:
-        """Returns how many requests a server may have."""
+    def _load_limit(self, server: directory.BackendServer, now: float) -> float:
+        """Returns the load limit of a server, in requests."""
         if not self._policy.full_loads:
             return math.inf
         return self.load_limits.limit(server.server_id, server.slots, now)
@@ -346,7 +356,7 @@
             reason=reason,
             load=load,
             mean_load=mean,
-            full=load + 1 > self._most(server, now),
+            full=load + 1 > self._load_limit(server, now),
             report_age_s=self.stats.report_age_s(server.server_id, now),
             source=source,
         )
@@ -364,29 +374,32 @@
 
 def _home(
     ranked: Sequence[directory.BackendServer],
-    asked: prompt.Prompt,
+    requested: prompt.Prompt,
     data_centre: str,
 ) -> directory.BackendServer | None:
-    """Returns a data centre's home of a subject, or None if it has none."""
+    """Returns the home of a prompt in a data centre; None if it has none."""
     firsts: dict[str, directory.BackendServer] = {}
     for server in ranked:
         firsts.setdefault(server.data_centre, server)
-    if asked.shared_tokens > _COPIED_PER_ANSWER_TOKEN * asked.max_answer_tokens:
+    if (
+        requested.shared_tokens
+        > _MAX_COPIED_PER_ANSWER_TOKEN * requested.max_answer_tokens
+    ):
         firsts = dict(itertools.islice(firsts.items(), 1))
     return firsts.get(data_centre)
 
 
-def _bound(asked: prompt.Prompt, mean: float) -> float:
-    if asked.shared_tokens >= LONG_PREFIX_TOKENS:
+def _bound(requested: prompt.Prompt, mean: float) -> float:
+    if requested.shared_tokens >= LONG_PREFIX_TOKENS:
         return LONG_LOAD_FACTOR * mean + LONG_LOAD_EXTRA
     return LOAD_FACTOR * mean + LOAD_EXTRA
 
 
 def _reason(
     server: directory.BackendServer,
-    place: int,
+    rank: int,
     held: dict[str, cache_locations.CacheEntry],
 ) -> Reason:
     if server.server_id in held:
         return Reason.HELD
-    return Reason.SPILL if place else Reason.HOME
+    return Reason.SPILL if rank else Reason.HOME
--- a/irisshelf/routing/direct/server_stats.py
+++ b/irisshelf/routing/direct/server_stats.py
@@ -1,8 +1,8 @@
-"""What one instance knows of each backend server: load, speed and health.
+"""Load, speed and health of each backend server, as one instance knows them.
 
-Load is the server's last report, corrected by what this instance has sent
-and seen end since. Health is evidence from real requests only; probes cost
-the users money and may lie.
+Load is the server's last report, corrected by the requests that this instance
+has sent and seen end since. Health follows from the outcomes of real requests
+only; probe requests cost the users money and may be misleading.
 """
 
 from __future__ import annotations
@@ -12,33 +12,35 @@
 import enum
 import math
 
-# What a server said of its load fades, as the requests that it counted end:
-# answers last about a second. After three times that it says nothing.
+# A load report loses weight exponentially, since the requests that it counts
+# end: responses last about a second. After three time constants it is ignored.
 REPORT_DECAY_S = 1.5
 MAX_REPORT_AGE_S = 4.5
-# Changes of own requests that are remembered for a server.
+# Starts and ends of own requests that are kept for each server.
 _MAX_CHANGES = 64
-# A server that misbehaves rests this long before one request tries it again;
-# doubled each time, up to the longest.
+# A failing server is ejected for this time before a single trial request;
+# doubled with each ejection, up to the maximum.
 FIRST_EJECTION_S = 0.6
 MAX_EJECTION_S = 4.0
-# Weight of the newest outcome, and of the newest duration, in their averages.
+# Weights of the newest value in the moving averages of outcomes, response times
+# and residence times.
 _OUTCOME_WEIGHT = 0.2
 _DURATION_WEIGHT = 0.2
-_STAY_WEIGHT = 0.05
-# A server is an outlier if its share of failures is so far above the mean of
-# its service, and so many outcomes speak for it.
+_RESIDENCE_TIME_WEIGHT = 0.05
+# A server is an outlier if its failure rate is so far above the mean of the
+# other servers, based on at least so many outcomes.
 _OUTLIER_GAP = 0.3
-_OUTLIER_OUTCOMES = 4
-# Failures in a row that make a server rest, whatever the others do.
-_IN_A_ROW = 3
+_MIN_OUTLIER_OUTCOMES = 4
+# Consecutive failures that eject a server, whatever the others do.
+_MAX_CONSECUTIVE_FAILURES = 3
 
 
 class Outcome(enum.StrEnum):
-    """What came of a request that was sent to a server.
+    """Outcome of a request that was sent to a server.
 
-    A server that refuses is full; one that turns away has free places as far as
-    is known, and answers so fast that it would draw more than its share.
+    A server that refuses a request is full. One that turns it away has free
+    slots as far as is known; it responds so fast that it would attract more
+    than its share of the requests, so this counts as a failure.
     """
 
     SUCCESS = "well"
@@ -52,12 +54,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LoadEstimate:
-    """A server's load now, by what is known of it.
+    """Estimate of a server's current load.
 
     Attributes:
-        remaining: Requests known of that it still has.
-        sent: Of these, own ones that its report is too old for.
-        ended: Requests that its report counted and that have ended since.
+        remaining: Known requests that it still has.
+        sent: Those of them that this instance has sent since the last report.
+        ended: Requests counted in the last report that have ended since.
     """
 
     remaining: float
@@ -67,84 +69,85 @@
 
 @dataclasses.dataclass(slots=True)
 class _Server:
-    own: int = 0
-    sent_as: float = float("-inf")
-    sent_since: int = 0
-    told: int = 0
-    told_s: float = float("-inf")
+    own_requests: int = 0
+    last_send_number: float = float("-inf")
+    sent_since_report: int = 0
+    reported_requests: int = 0
+    reported_s: float = float("-inf")
     changes: collections.deque[tuple[float, int]] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=_MAX_CHANGES)
     )
-    bad: float = 0.0
+    failure_rate: float = 0.0
     outcomes: int = 0
-    in_a_row: int = 0
-    rests: int = 0
-    rest_until_s: float = float("-inf")
-    trying: bool = False
+    consecutive_failures: int = 0
+    ejections: int = 0
+    ejected_until_s: float = float("-inf")
+    awaiting_outcome: bool = False
     unreachable: bool = False
-    lost_s: float = float("-inf")
-    heard_s: float = float("-inf")
+    last_unreachable_s: float = float("-inf")
+    last_received_s: float = float("-inf")
     duration_s: float = 0.0
 
 
 class ServerStats:
-    """What is known of the servers of one service.
+    """Statistics of the servers of one service.
 
     Args:
-        ejects: Whether servers that fail requests get none for a while.
+        ejects: Whether servers that fail requests are ejected for a while.
     """
 
     def __init__(self, *, ejects: bool = True):
         self._ejects = ejects
         self._servers: dict[str, _Server] = {}
-        self._stay_s = 0.0
+        self._residence_time_s = 0.0
         self._sends = 0
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forgets servers that are not listed any more and have no work."""
+        """Removes unlisted servers without requests of this instance."""
         for name in [n for n in self._servers if n not in names]:
-            if not self._servers[name].own:
+            if not self._servers[name].own_requests:
                 del self._servers[name]
 
     def record_start(self, name: str, now: float) -> None:
-        """Counts a request that is sent."""
+        """Counts a request that this instance sends to a server."""
         server = self._get(name)
-        server.own += 1
+        server.own_requests += 1
         self._sends += 1
-        server.sent_as = self._sends
-        server.sent_since += 1
+        server.last_send_number = self._sends
+        server.sent_since_report += 1
         server.changes.append((now, 1))
-        server.trying = True
+        server.awaiting_outcome = True
 
     def record_end(self, name: str, now: float) -> None:
-        """Counts a request that does not run there any more."""
+        """Counts the end of a request of this instance at a server."""
         server = self._get(name)
-        server.own = max(0, server.own - 1)
+        server.own_requests = max(0, server.own_requests - 1)
         server.changes.append((now, -1))
 
     def record_load_report(self, name: str, *, work: int, at_s: float) -> bool:
-        """Takes a server's report: requests that run or wait there.
+        """Records a server's load report.
 
         Args:
             name: The server.
-            work: Their number.
-            at_s: When it said so; an older report than the last is not taken.
+            work: Number of requests that run or wait there.
+            at_s: Time of the report; reports not newer than the last one are
+                ignored.
 
         Returns:
-            Whether it was taken.
+            Whether the report was used.
         """
         server = self._get(name)
-        if at_s <= server.told_s:
+        if at_s <= server.reported_s:
             return False
-        server.told = work
-        server.told_s = at_s
-        server.sent_since = sum(
+        server.reported_requests = work
+        server.reported_s = at_s
+        server.sent_since_report = sum(
             step > 0 and changed_s > at_s for changed_s, step in server.changes
         )
         return True
 
     def record_duration(self, name: str, duration_s: float) -> None:
-        """Takes how long a server took to answer, or to begin to."""
+        """Records a server's response time or time to first byte."""
         server = self._get(name)
         if not server.duration_s:
             server.duration_s = duration_s
@@ -152,140 +155,161 @@
         step = duration_s - server.duration_s
         server.duration_s += _DURATION_WEIGHT * step
 
-    def record_residence_time(self, stay_s: float) -> None:
-        """Takes how long a request was at a server, from sent to ended."""
-        if not self._stay_s:
-            self._stay_s = stay_s
-        self._stay_s += _STAY_WEIGHT * (stay_s - self._stay_s)
+    def record_residence_time(self, residence_time_s: float) -> None:
+        """Records the time from the sending of a request to its end."""
+        if not self._residence_time_s:
+            self._residence_time_s = residence_time_s
+        self._residence_time_s += _RESIDENCE_TIME_WEIGHT * (
+            residence_time_s - self._residence_time_s
+        )
 
     def duration_s(self, name: str) -> float:
-        """Returns a server's average time to answer; 0 if not known."""
+        """Returns a server's average response time; 0 if unknown."""
         return self._get(name).duration_s
 
     def own_requests(self, name: str) -> int:
-        """Returns how many requests of this instance run there."""
-        return self._get(name).own
+        """Returns the number of requests that this instance has at a server."""
+        return self._get(name).own_requests
 
     def sends_to_others(self, name: str) -> float:
-        """Returns own sends since the last to a server; infinite if none."""
-        return self._sends - self._get(name).sent_as
+        """Returns the sends to other servers since the last one to a server.
+
+        Infinite if nothing was sent to the server.
+        """
+        return self._sends - self._get(name).last_send_number
 
     def report_age_s(self, name: str, now: float) -> float:
         """Returns the age of a server's last report."""
-        return now - self._get(name).told_s
+        return now - self._get(name).reported_s
 
-    def load(self, name: str, now: float, *, otherwise: float = 0.0) -> float:
-        """Estimates the requests that a server has, of all instances.
+    def load(self, name: str, now: float, *, others: float = 0.0) -> float:
+        """Estimates the requests of all instances at a server.
 
         Args:
             name: The server.
             now: Time in seconds.
-            otherwise: What others are thought to have there, if the server
-                has told nothing lately.
+            others: Assumed number of requests of other instances, if there is
+                no recent report.
         """
         server = self._get(name)
-        age_s = now - server.told_s
+        age_s = now - server.reported_s
         if age_s > MAX_REPORT_AGE_S:
-            return server.own + otherwise
+            return server.own_requests + others
         since = sum(
-            step for at_s, step in server.changes if at_s > server.told_s
+            step for at_s, step in server.changes if at_s > server.reported_s
         )
-        left = (server.told + since) * math.exp(
+        left = (server.reported_requests + since) * math.exp(
             -max(0.0, age_s) / REPORT_DECAY_S
         )
-        return max(float(server.own), left)
+        return max(float(server.own_requests), left)
 
     def loads(self, names: list[str], now: float) -> dict[str, float]:
-        """Estimates all loads; unknown ones from those that are known."""
+        """Estimates the loads of servers; unknown ones from the known ones."""
         fresh = [
             max(0.0, self.load(name, now) - self.own_requests(name))
             for name in names
-            if now - self._get(name).told_s <= MAX_REPORT_AGE_S
+            if now - self._get(name).reported_s <= MAX_REPORT_AGE_S
         ]
         others = sum(fresh) / len(fresh) if fresh else 0.0
-        return {name: self.load(name, now, otherwise=others) for name in names}
+        return {name: self.load(name, now, others=others) for name in names}
 
     def estimate(self, name: str, now: float) -> LoadEstimate:
-        """Estimates what is left of the requests that are known of.
+        """Estimates how many of the known requests a server still has.
 
-        Of those that a report counted, the share that has ended since follows
-        from how long requests stay. In a steady state as many come as end.
+        The share of the reported requests that has ended since follows from the
+        average residence time. In a steady state as many requests arrive as
+        end.
         """
         server = self._get(name)
-        age_s = max(0.0, now - server.told_s)
-        left = server.told * math.exp(-age_s / (self._stay_s or REPORT_DECAY_S))
-        sent = min(server.sent_since, server.own)
+        age_s = max(0.0, now - server.reported_s)
+        left = server.reported_requests * math.exp(
+            -age_s / (self._residence_time_s or REPORT_DECAY_S)
+        )
+        sent = min(server.sent_since_report, server.own_requests)
         return LoadEstimate(
-            remaining=max(float(server.own), left + sent),
+            remaining=max(float(server.own_requests), left + sent),
             sent=sent,
-            ended=server.told - left,
+            ended=server.reported_requests - left,
         )
 
-    def record_outcome(self, name: str, what: Outcome, now: float) -> str:
-        """Takes what came of a request.
+    def record_outcome(self, name: str, outcome: Outcome, now: float) -> str:
+        """Records the outcome of a request.
 
         Returns:
-            Why the server rests from now on; empty if nothing changes.
+            Why the server is ejected from now on; empty if nothing changes.
         """
         server = self._get(name)
-        server.trying = False
-        if what is Outcome.REFUSED:
+        server.awaiting_outcome = False
+        if outcome is Outcome.REFUSED:
             return ""
-        good = what is Outcome.SUCCESS
+        success = outcome is Outcome.SUCCESS
         server.outcomes += 1
-        server.bad += _OUTCOME_WEIGHT * ((0.0 if good else 1.0) - server.bad)
-        server.in_a_row = 0 if good else server.in_a_row + 1
-        if good:
-            self._end_rest(server)
+        server.failure_rate += _OUTCOME_WEIGHT * (
+            (0.0 if success else 1.0) - server.failure_rate
+        )
+        server.consecutive_failures = (
+            0 if success else server.consecutive_failures + 1
+        )
+        if success:
+            self._end_ejection(server)
             return ""
-        if what is Outcome.UNREACHABLE:
-            return self._lose(server, now)
-        if server.in_a_row >= _IN_A_ROW and what is not Outcome.FAILED:
-            return self._rest(server, now, f"{server.in_a_row} in a row")
+        if outcome is Outcome.UNREACHABLE:
+            return self._mark_unreachable(server, now)
+        if (
+            server.consecutive_failures >= _MAX_CONSECUTIVE_FAILURES
+            and outcome is not Outcome.FAILED
+        ):
+            return self._eject(
+                server,
+                now,
+                f"{server.consecutive_failures} consecutive failures",
+            )
         if self._is_outlier(name, server):
-            return self._rest(server, now, f"fails {server.bad:.2f}")
+            return self._eject(
+                server, now, f"failure rate {server.failure_rate:.2f}"
+            )
         return ""
 
     def record_connect(self, name: str, now: float) -> None:
-        """Takes that a server accepts connections.
+        """Records that a server accepts connections.
 
-        That says nothing of its answers, so that it ends only a rest that a
-        failed connect began.
+        That does not show whether it handles requests, so it ends only an
+        ejection that was caused by a failed connect.
         """
         server = self._get(name)
-        server.heard_s = max(server.heard_s, now)
+        server.last_received_s = max(server.last_received_s, now)
         if server.unreachable:
-            self._end_rest(server)
+            self._end_ejection(server)
 
     def is_unreachable(self, name: str) -> bool:
-        """Tells whether a server was out of reach the last time."""
+        """Tells whether the last attempt to connect to a server failed."""
         return self._get(name).unreachable
 
     def record_received(self, name: str, now: float) -> None:
-        """Takes that bytes have come from a server."""
-        self._get(name).heard_s = now
+        """Records that data was received from a server."""
+        self._get(name).last_received_s = now
 
     def last_received_s(self, name: str) -> float:
-        """Returns when a server was last heard; minus infinity if never."""
-        return self._get(name).heard_s
+        """Returns when data was last received; minus infinity if never."""
+        return self._get(name).last_received_s
 
     def is_available(self, name: str, now: float) -> bool:
         """Tells whether a server may get a request.
 
-        One that is out of reach gets none until a connect has shown otherwise,
-        or nobody has tried for the longest rest. One that rests for another
-        reason gets a single request afterwards, to show itself.
+        An unreachable server gets none until a connect succeeds, or no connect
+        was tried for the maximum ejection time. A server that was ejected for
+        another reason gets a single trial request afterwards.
         """
         server = self._get(name)
         if server.unreachable:
-            return now - server.lost_s >= MAX_EJECTION_S
-        if not server.rests:
+            return now - server.last_unreachable_s >= MAX_EJECTION_S
+        if not server.ejections:
             return True
-        return now >= server.rest_until_s and not server.trying
+        return now >= server.ejected_until_s and not server.awaiting_outcome
 
     def failure_rate(self, name: str) -> float:
-        """Returns a server's recent share of failures."""
-        return self._get(name).bad
+        """Returns a server's recent failure rate, from 0 to 1."""
+        return self._get(name).failure_rate
 
     def _get(self, name: str) -> _Server:
         server = self._servers.get(name)
@@ -293,27 +317,29 @@
             server = self._servers[name] = _Server()
         return server
 
-    def _lose(self, server: _Server, now: float) -> str:
+    def _mark_unreachable(self, server: _Server, now: float) -> str:
         before, server.unreachable = server.unreachable, True
-        server.lost_s = now
+        server.last_unreachable_s = now
         return "" if before else "unreachable"
 
-    def _end_rest(self, server: _Server) -> None:
+    def _end_ejection(self, server: _Server) -> None:
         server.unreachable = False
-        server.rests = 0
-        server.rest_until_s = float("-inf")
+        server.ejections = 0
+        server.ejected_until_s = float("-inf")
 
-    def _rest(self, server: _Server, now: float, why: str) -> str:
-        if now < server.rest_until_s or not self._ejects:
+    def _eject(self, server: _Server, now: float, why: str) -> str:
+        if now < server.ejected_until_s or not self._ejects:
             return ""
-        rest_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**server.rests)
-        server.rests += 1
-        server.rest_until_s = now + rest_s
+        ejection_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**server.ejections)
+        server.ejections += 1
+        server.ejected_until_s = now + ejection_s
         return why
 
     def _is_outlier(self, name: str, server: _Server) -> bool:
-        others = [s.bad for n, s in self._servers.items() if n != name]
-        if not others or server.outcomes < _OUTLIER_OUTCOMES:
+        other_rates = [
+            s.failure_rate for n, s in self._servers.items() if n != name
+        ]
+        if not other_rates or server.outcomes < _MIN_OUTLIER_OUTCOMES:
             return False
-        mean = sum(others) / len(others)
-        return server.bad - mean > _OUTLIER_GAP
+        mean = sum(other_rates) / len(other_rates)
+        return server.failure_rate - mean > _OUTLIER_GAP
--- a/irisshelf/routing/direct/stale_load.py
+++ b/irisshelf/routing/direct/stale_load.py
@@ -1,17 +1,19 @@
-"""Chooses by loads that were reported some time ago.
-
-Between two reports of a server, requests end there and others come, from every
-instance. Instances that all send to the server whose last report was lowest
-raise its load together, far above that of the others: the herd effect of stale
-load information. Two ways:
-
-- *reported*: the server that costs least by its report and own sends since.
-- *spread*: work that came since the reports is estimated and spread over the
-  servers; the request goes to one of those that cost least with it.
-
-Other instances are assumed to have sent as this one has, as far as it has sent
-anything since the reports; and for the rest to the cheapest servers, until
-these cost as much as the next.
+"""Server selection by load reports of some age.
+
+Between two reports of a server, requests of every instance end and arrive
+there. If all instances send to the server with the lowest report, they raise
+its load far above that of the others: the herd effect of stale load
+information. There are two strategies:
+
+- *reported*: the server with the lowest cost by its report and the requests
+  sent by this instance since.
+- *spread*: the requests that arrived since the reports are estimated and spread
+  over the servers; the request goes to one of the servers with the lowest cost
+  including them.
+
+Other instances are assumed to distribute their requests like this one, weighted
+by the requests that it has sent since the reports. The rest is assumed to go to
+the cheapest servers until their cost reaches that of the next one.
 """
 
 from __future__ import annotations
@@ -23,14 +25,14 @@
 from collections.abc import Mapping
 from collections.abc import Sequence
 
-# The spread by cost weighs as much as so many own requests.
-_PRIOR = 0.5
-# Costs that differ by less than this part of a request are equal.
-_EQUAL = 1e-6
+# Weight of the distribution by cost, in requests of this instance.
+_PRIOR_REQUESTS = 0.5
+# Costs that differ by less than this share of a marginal cost count as equal.
+_TOLERANCE = 1e-6
 
 
 class Strategy(enum.StrEnum):
-    """How a server is chosen by old reports."""
+    """How a server is selected by load reports of some age."""
 
     REPORTED = "reported"
     SPREAD = "spread"
@@ -38,17 +40,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Cost:
-    """What one more request costs at a server.
+    """Cost of one more request at a server.
 
     Attributes:
         name: The server.
-        cost: By the load that is known of, in any unit.
-        step: What each further request adds, in the same unit; above 0.
-        known: Requests that are known of, see ``server_book.Estimate``.
-        sent: Of these, own ones that the server's report is too old for.
+        cost: Cost at the known load, in any unit.
+        marginal_cost: Added by each further request, in the same unit; above 0.
+        known_requests: Requests known to be there, see
+            ``server_stats.LoadEstimate``.
+        sent: Those of them that this instance has sent since the last report.
         ended: Requests that have ended since the report.
-        elsewhere: Requests that this instance has sent to others since it sent
-            one here; infinite if never.
+        sends_to_others: Requests that this instance has sent to other servers
+            since the last one to this server; infinite if there was none.
     """
 
     name: str
@@ -61,57 +64,62 @@
 
 
 def estimate_unreported(costs: Sequence[Cost]) -> float:
-    """Estimates how many requests others have sent since the reports.
+    """Estimates how many requests other instances sent since the reports.
 
-    In a steady state as many come as end; own ones are known.
+    In a steady state as many requests arrive as end; the number sent by this
+    instance is known.
     """
     return max(0.0, sum(one.ended - one.sent for one in costs))
 
 
 def water_level(
-    costs: Sequence[float], steps: Sequence[float], more: float
+    costs: Sequence[float], marginal_costs: Sequence[float], count: float
 ) -> float:
-    """Returns the cost up to which further requests fill servers.
+    """Returns the cost that servers reach with further requests.
+
+    Each request goes to the cheapest server, like water that fills basins.
 
     Args:
-        costs: What one more request costs, by server; not empty.
-        steps: What each further one adds there.
-        more: Number of the further requests.
+        costs: Cost of one more request, by server; not empty.
+        marginal_costs: Cost that each further request adds, by server.
+        count: Number of further requests.
 
     Example:
         >>> water_level([1.0, 2.0], [1.0, 1.0], 3.0)
         3.0
     """
-    ranked = sorted(zip(costs, steps, strict=True))
-    reached, left, taken_per_cost = ranked[0][0], more, 0.0
-    for cost, step in ranked:
-        needed = taken_per_cost * (cost - reached)
-        if taken_per_cost and needed >= left:
+    ranked = sorted(zip(costs, marginal_costs, strict=True))
+    reached, remaining, requests_per_cost = ranked[0][0], count, 0.0
+    for cost, marginal_cost in ranked:
+        needed = requests_per_cost * (cost - reached)
+        if requests_per_cost and needed >= remaining:
             break
-        left -= needed
+        remaining -= needed
         reached = cost
-        taken_per_cost += 1 / step
-    return reached + left / taken_per_cost
+        requests_per_cost += 1 / marginal_cost
+    return reached + remaining / requests_per_cost
 
 
-def spread_unreported(costs: Sequence[Cost], more: float) -> dict[str, float]:
-    """Estimates how many of the unseen requests each server has got.
+def spread_unreported(costs: Sequence[Cost], count: float) -> dict[str, float]:
+    """Estimates how many of the unreported requests each server has.
 
     Args:
         costs: By server; not empty.
-        more: Requests of other instances that no report contains.
+        count: Number of requests of other instances that no report contains.
     """
-    if not more:
+    if not count:
         return dict.fromkeys((one.name for one in costs), 0.0)
-    like_own = more / (sum(one.sent for one in costs) + _PRIOR)
+    per_own_send = count / (sum(one.sent for one in costs) + _PRIOR_REQUESTS)
     raised = [
-        one.cost + like_own * one.sent * one.marginal_cost for one in costs
+        one.cost + per_own_send * one.sent * one.marginal_cost for one in costs
     ]
     highest = water_level(
-        raised, [one.marginal_cost for one in costs], like_own * _PRIOR
+        raised,
+        [one.marginal_cost for one in costs],
+        per_own_send * _PRIOR_REQUESTS,
     )
     return {
-        one.name: like_own * one.sent
+        one.name: per_own_send * one.sent
         + max(0.0, (highest - cost) / one.marginal_cost)
         for one, cost in zip(costs, raised, strict=True)
     }
@@ -120,14 +128,15 @@
 def choose(
     costs: Sequence[Cost], added: Mapping[str, float], rng: random.Random
 ) -> str:
-    """Chooses one of the servers that cost least.
+    """Selects one of the servers with the lowest cost.
 
-    Equal ones take turns, which keeps their loads closer together than chance
-    would: the one that was sent nothing for longest, for what it can do.
+    Servers of equal cost take turns, which keeps their loads closer together
+    than a random choice would: selected is the one that has been sent nothing
+    for longest, relative to its capacity.
 
     Args:
         costs: By server; not empty.
-        added: Requests that each has beyond the known ones.
+        added: Estimated requests at each server beyond the known ones.
         rng: Breaks ties.
 
     Returns:
@@ -138,7 +147,7 @@
     equal = [
         one
         for one, total in zip(costs, totals, strict=True)
-        if total <= least + _EQUAL * one.marginal_cost
+        if total <= least + _TOLERANCE * one.marginal_cost
     ]
     return min(
         equal,
