--- a/irisshelf/gateway/requests/attempt.py
+++ b/irisshelf/gateway/requests/attempt.py
@@ -8,7 +8,7 @@
 from irisshelf.catalog import model
 from irisshelf.gateway import instance as instance_module
 from irisshelf.gateway import messages
-from irisshelf.gateway.requests import watched
+from irisshelf.gateway.requests import monitored_connection
 from irisshelf.routing import outcome
 from irisshelf.routing.direct import event_stream
 from irisshelf.routing.direct import server_choice
@@ -41,7 +41,7 @@
         seen: server_stats.Outcome,
         outcome: outcome.Outcome,
         detail: str,
-        final: messages.Final | None = None,
+        final: messages.CompleteAnswer | None = None,
         excuse: bool = False,
         cut: bool = False,
     ):
@@ -103,12 +103,12 @@
         self._choice = choice
         self._conn = conn
         self._patience_s = patience_s
-        self._watched = watched.Watched(
+        self._watched = monitored_connection.MonitoredConnection(
             inst=inst,
             server=choice.server,
             conn=conn,
             leave=leave,
-            end_s=job.until_s,
+            end_s=job.deadline_s,
         )
 
     def run(self) -> None:
@@ -119,8 +119,8 @@
         """
         server = self._choice.server
         book = self._inst.servers.chooser(server.service).stats
-        links = self._inst.servers.links
-        links.begin(server, self._conn)
+        pool = self._inst.servers.connection_pool
+        pool.mark_in_use(server, self._conn)
         book.record_start(server.server_id, self._inst.now())
         keep_alive_s = None
         try:
@@ -128,7 +128,7 @@
             head = self._exchange_head()
             keep_alive_s = head.report.keep_alive_s
             if not head.not_run:
-                self._inst.servers.reports.answered(server, sent_s)
+                self._inst.servers.reports.record_response(server, sent_s)
             self._check(head)
             head_s = self._inst.now()
             book.record_duration(server.server_id, head_s - sent_s)
@@ -147,20 +147,20 @@
             book.record_end(server.server_id, self._inst.now())
             # A connection in the middle of an answer is not reusable and is
             # closed, so that the server stops working on it.
-            links.put(server, self._conn, keep_alive_s)
+            pool.release(server, self._conn, keep_alive_s)
 
     def _exchange_head(self) -> messages.AnswerHead:
         job = self._job
         source = self._choice.source
-        told = messages.Send(
+        told = messages.ForwardedContext(
             entry_id=self._choice.server.entry_id,
             team=job.team,
-            left_s=self._job.until_s - self._inst.now(),
+            left_s=self._job.deadline_s - self._inst.now(),
             priority=job.priority,
             cache_source=source.address if source else "",
             last_event_id=self._progress.last_event_id,
         )
-        headers = self._inst.dialect.request_headers(job.inbound, told)
+        headers = self._inst.dialect.backend_request_headers(job.inbound, told)
         if job.route.kind is model.RouteKind.UNSAFE:
             # It must run once; that its caller leaves does not undo it.
             self._caller.detach_caller()
@@ -183,15 +183,15 @@
         try:
             while True:
                 status, raw = self._watched.read_head(until_s)
-                head = self._inst.dialect.answer_head(status, raw)
-                self._inst.servers.reports.take(
-                    self._choice.server, head.report, self._job.ask.request_id
+                head = self._inst.dialect.parse_answer(status, raw)
+                self._inst.servers.reports.handle(
+                    self._choice.server, head.report, self._job.head.request_id
                 )
-                if head.request_id in ("", self._job.ask.request_id):
+                if head.request_id in ("", self._job.head.request_id):
                     return head
                 self._inst.log.request(
                     "stray_answer",
-                    self._job.ask.request_id,
+                    self._job.head.request_id,
                     belongs_to=head.request_id,
                 )
                 self._conn.skip_answer(timeout_s=until_s - self._inst.now())
@@ -223,7 +223,7 @@
             ),
             outcome=outcome.Outcome.UNKNOWN,
             detail=f"answered {head.status}",
-            final=messages.Final(
+            final=messages.CompleteAnswer(
                 status=head.status, headers=head.headers, body=body
             ),
         )
--- a/irisshelf/platform/stand_in/entry.py
+++ b/irisshelf/platform/stand_in/entry.py
@@ -10,7 +10,7 @@
 import gevent
 
 from irisshelf import boottime
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import instance
 from irisshelf.gateway import listener
 from irisshelf.gateway import settings
@@ -18,7 +18,7 @@
 from irisshelf.gateway.knowledge import datagrams
 from irisshelf.gateway.knowledge import fact_gossip
 from irisshelf.gateway.knowledge import follower
-from irisshelf.gateway.requests import front
+from irisshelf.gateway.requests import frontend
 from irisshelf.observe import decision_log
 from irisshelf.platform import http_dialect
 from irisshelf.platform import store_feed
@@ -80,7 +80,7 @@
             log=log,
             rng=random.Random(1),
         )
-        self._front = front.Front(inst=self.inst)
+        self._front = frontend.Frontend(inst=self.inst)
         self.listener = listener.Listener(
             address=_ANY_PORT,
             limits=self._front.limits,
@@ -93,25 +93,25 @@
             inst=self.inst, store=store_feed.StoreFeed(address=store)
         )
         self._datagrams = datagrams.Datagrams(address=_ANY_PORT, log=log)
-        self.member = roster.Member(
+        self.member = membership.Member(
             name=name,
             address=self._datagrams.address,
             data_centre=data_centre,
         )
-        self.roster = roster.Roster(own=self.member)
+        self.roster = membership.Membership(own=self.member)
         self.crash_gossip = crash_gossip.CrashGossip(
             crashes=self.inst.crashes,
             datagrams=self._datagrams,
-            roster=self.roster,
+            membership=self.roster,
             log=log,
         )
         self._gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
-            roster=self.roster,
-            on_fact=self.inst.servers.heard_fact,
+            membership=self.roster,
+            on_fact=self.inst.servers.apply_fact,
             rng=random.Random(2),
         )
-        self.inst.servers.tell = self._gossip.tell
+        self.inst.servers.publish = self._gossip.publish
         self._greenlets = [
             gevent.spawn(self.follower.run, table) for table in feed.Table
         ]
@@ -122,11 +122,11 @@
     def meet(self, others: Sequence[Entry]) -> None:
         """Makes other instances known to this one."""
         for other in others:
-            self.roster.heard(other.member, boottime.now())
+            self.roster.record_alive(other.member, boottime.now())
 
     def close(self) -> None:
         """Ends everything."""
         gevent.killall(self._greenlets)
         self.listener.stop_accepting()
-        self.inst.servers.reach.close()
+        self.inst.servers.prober.close()
         os.close(self._log_fd)
--- a/irisshelf/routing/direct/overload.py
+++ b/irisshelf/routing/direct/overload.py
@@ -210,7 +210,7 @@
         """Tells whether a team sends far more requests than its share."""
         if not team:
             return False
-        equal_share = 1 / self._baseline_rate.keys
+        equal_share = 1 / self._baseline_rate.key_count
         confidence = min(1.0, (now - self._first_arrival_s) / _BASELINE_S)
         usual_share = confidence * self._baseline_rate.share(team)
         return self._recent_rate.share(team) > SURGE_FACTOR * max(
--- a/irisshelf/tests/test_cold_start.py
+++ b/irisshelf/tests/test_cold_start.py
@@ -13,9 +13,9 @@
 import pytest
 
 from irisshelf.catalog import directory
-from irisshelf.coordination import data_centre
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster as roster_module
+from irisshelf.coordination import local_membership
+from irisshelf.coordination import membership as membership_module
 from irisshelf.gateway import settings
 from irisshelf.platform.stand_in import server
 from irisshelf.platform.stand_in import world as world_module
@@ -187,17 +187,19 @@
 
 
 def _members(*, alone=False, began_s=-100.0, elsewhere=True):
-    own = roster_module.Member(name="n0", address="", data_centre="a")
-    roster = roster_module.Roster(own=own)
+    own = membership_module.Member(name="n0", address="", data_centre="a")
+    roster = membership_module.Membership(own=own)
     if elsewhere:
-        far = roster_module.Member(name="far", address="", data_centre="b")
-        roster.heard(far, 10.0)
-    found = data_centre.Members(roster=roster, alone=alone, began_s=began_s)
+        far = membership_module.Member(name="far", address="", data_centre="b")
+        roster.record_alive(far, 10.0)
+    found = local_membership.LocalMembership(
+        membership=roster, alone=alone, began_s=began_s
+    )
     return roster, found
 
 
 def _near(name):
-    return roster_module.Member(name=name, address="", data_centre="a")
+    return membership_module.Member(name=name, address="", data_centre="a")
 
 
 @pytest.mark.parametrize(
@@ -213,7 +215,7 @@
 def test_who_knows_the_others_well_enough(options, others, now, known):
     roster, members = _members(**options)
     for number in range(others):
-        roster.heard(_near(f"n{number + 1}"), now)
+        roster.record_alive(_near(f"n{number + 1}"), now)
     assert len(members.names(now)) == known
 
 
@@ -221,13 +223,13 @@
     """It slept, or is cut off: it would take all shares on."""
     roster, members = _members()
     for number in range(9):
-        roster.heard(_near(f"n{number + 1}"), 10.0)
+        roster.record_alive(_near(f"n{number + 1}"), 10.0)
     assert len(members.names(10.0)) == 10
     # Nobody was heard for seven seconds but three.
     for number in range(3):
-        roster.heard(_near(f"n{number + 1}"), 17.0)
+        roster.record_alive(_near(f"n{number + 1}"), 17.0)
     assert members.names(17.0) == ()
-    roster.heard(_near("n4"), 17.1)
+    roster.record_alive(_near("n4"), 17.1)
     assert len(members.names(17.1)) == 5
 
 
@@ -328,9 +330,9 @@
     one.away_s = 0.5
     one.on_return = lambda: None
     one.crash()
-    while not cold_world.inst.servers.out_of_reach(listed):
+    while not cold_world.inst.servers.is_unreachable(listed):
         cold_world.ask("/alarm/1")
-    cold_world.wait(lambda: not cold_world.inst.servers.out_of_reach(listed))
+    cold_world.wait(lambda: not cold_world.inst.servers.is_unreachable(listed))
     cold = cold_world.inst.eligible.cold
     assert cold.remaining_s(one.server_id, cold_world.inst.now()) > 2.0
 
@@ -377,7 +379,7 @@
         server=directory.key_of(one.server_id),
         until_s=cold_world.inst.now() + 2.0,
     )
-    cold_world.inst.servers.heard_fact(fact)
+    cold_world.inst.servers.apply_fact(fact)
     cold = cold_world.inst.eligible.cold
     left_s = cold.remaining_s(listed.server_id, cold_world.inst.now())
     assert 1.9 < left_s <= 2.0
@@ -385,7 +387,7 @@
 
 def test_what_the_store_says_of_coldness_is_told(cold_world):
     told = []
-    cold_world.inst.servers.tell = told.append
+    cold_world.inst.servers.publish = told.append
     _cool(cold_world, cold_world.plain[0])
     colds = [fact for fact in told if isinstance(fact, facts.ServerCold)]
     key = directory.key_of(cold_world.plain[0].server_id)
--- a/irisshelf/tests/test_untrusted_input.py
+++ b/irisshelf/tests/test_untrusted_input.py
@@ -22,7 +22,7 @@
 from irisshelf import boottime
 from irisshelf.catalog import position
 from irisshelf.coordination import facts
-from irisshelf.coordination import roster
+from irisshelf.coordination import membership
 from irisshelf.gateway import messages
 from irisshelf.gateway.knowledge import crash_gossip
 from irisshelf.gateway.knowledge import datagrams as datagrams_module
@@ -166,7 +166,7 @@
     """
     listed = server_list.ServerList(inst=world.inst)
     server = world.plain[0]
-    listed.store_lost()
+    listed.on_store_lost()
     rows = [feed.Item(key=server.server_id, value=None, problem="garbled")]
     if whole:
         rows += [
@@ -177,7 +177,7 @@
     batch = feed.Batch(
         items=tuple(rows), position=_FAR, store_s=0.0, whole=whole
     )
-    listed.take(batch, world.inst.now())
+    listed.apply_batch(batch, world.inst.now())
     assert world.inst.directory.get(server.server_id) is None
     assert len(world.inst.directory.servers()) == 3
 
@@ -190,7 +190,7 @@
     for server in world.inst.directory.servers():
         if server.service != "not-ours":
             lost = errors.ConnectError("gone", silent=False)
-            world.inst.servers.unreachable(server, lost, "r1")
+            world.inst.servers.record_unreachable(server, lost, "r1")
     assert world.inst.isolated
     assert not world.inst.ready
 
@@ -234,7 +234,7 @@
 )
 def test_a_header_that_says_nothing_does_not_end_the_answer(name, text):
     headers = ((name.encode(), text.encode("latin-1")),)
-    head = http_dialect.HttpDialect().answer_head(200, headers)
+    head = http_dialect.HttpDialect().parse_answer(200, headers)
     assert head.report.load is None
     assert head.report.keep_alive_s is None or head.report.keep_alive_s <= 86400
 
@@ -254,7 +254,7 @@
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 def test_any_answer_head_is_read(headers):
-    head = http_dialect.HttpDialect().answer_head(200, tuple(headers))
+    head = http_dialect.HttpDialect().parse_answer(200, tuple(headers))
     if head.report.keep_alive_s is not None:
         assert 0 <= head.report.keep_alive_s <= 86400
     if head.report.load is not None:
@@ -276,7 +276,7 @@
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 def test_any_request_head_is_read_or_refused(headers):
-    inbound = messages.Inbound(
+    inbound = messages.InboundRequest(
         method="POST",
         target="/x/1",
         headers=(*headers, (b"Request-Id", b"r1")),
@@ -284,7 +284,7 @@
         has_body=False,
         arrived_s=0.0,
     )
-    asked = http_dialect.HttpDialect().ask(inbound)
+    asked = http_dialect.HttpDialect().parse_request(inbound)
     if asked.is_err():
         assert "allowed" in asked.err_value
         return
@@ -350,8 +350,8 @@
     for kind in datagrams_module.Kind:
         taken = []
         datagrams.subscribe(kind, taken.append)
-        datagrams.take(bytes([kind]) + nested)
-        datagrams.take(bytes([kind]) + cbor2.dumps([1]))
+        datagrams.dispatch(bytes([kind]) + nested)
+        datagrams.dispatch(bytes([kind]) + cbor2.dumps([1]))
         assert len(taken) >= 1
 
 
@@ -393,27 +393,27 @@
         self.loads = []
         self.ends = []
         self._takers = {}
-        own = roster.Member(name="1", address="", data_centre="a")
-        members = roster.Roster(own=own)
+        own = membership.Member(name="1", address="", data_centre="a")
+        members = membership.Membership(own=own)
         fact_gossip.FactGossip(
             datagrams=self,
-            roster=members,
+            membership=members,
             on_fact=self._take_fact,
             rng=random.Random(1),
         )
         crash_gossip.CrashGossip(
-            crashes=self, datagrams=self, roster=members, log=None
+            crashes=self, datagrams=self, membership=members, log=None
         )
-        store_updates.Updates(
-            datagrams=self, roster=members, log=None
+        store_updates.StoreUpdates(
+            datagrams=self, membership=members, log=None
         ).subscribe(self.updates.append)
 
     def _take_fact(self, fact):
         if isinstance(fact, facts.ServerLoad):
             self.loads.append(fact)
 
-    def subscribe(self, kind, taker):
-        self._takers[kind] = taker
+    def subscribe(self, kind, handler):
+        self._takers[kind] = handler
 
     def take(self, kind, content):
         try:
@@ -425,10 +425,10 @@
     def send(self, address, data):
         """Takes what is passed on."""
 
-    def heard_end(self, content, end):
+    def receive_crash(self, content, end):
         self.ends.append(end)
 
-    def heard_good(self, content):
+    def receive_clear(self, content):
         self.ends.append(content)
 
 
