--- a/irisshelf/tests/test_availability.py
+++ b/irisshelf/tests/test_availability.py
@@ -1,4 +1,4 @@
-"""Which servers take requests, by who said what in which order."""
+"""Availability of servers after sequences of reports from several sources."""
 
 import dataclasses
 import random
@@ -10,8 +10,8 @@
 
 _Reason = availability.Reason
 _NAME = "i-1"
-# A rest ends so much later than asked at the most.
-_SPREAD_S = 1.0
+# Upper limit of the jitter that is added to a backoff.
+_MAX_JITTER_S = 1.0
 
 
 def _availability():
@@ -19,163 +19,174 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Said:
-    """Something said of a server at a time."""
+class _Event:
+    """Something learnt of a server at a time."""
 
     at_s: float
-    what: str
+    kind: str
     value: float = 0.0
 
 
-def _play(known, said):
-    if said.what == "leaves":
+def _apply(known, event):
+    if event.kind == "leaving":
         known.mark_leaving(_NAME)
-    elif said.what == "rests":
-        known.record_backoff(_NAME, said.value, said.at_s)
-    elif said.what == "absent":
-        known.mark_absent(_NAME, said.at_s)
-    elif said.what == "told":
-        known.record_peer_pause(_NAME, said.value, said.at_s)
-    elif said.what == "sent":
-        known.record_sent(_NAME, said.at_s)
-    elif said.what == "answered":
-        known.record_answer(_NAME, said.value)
-    elif said.what == "gone":
-        known.retain(frozenset(), said.at_s)
+    elif event.kind == "backoff":
+        known.record_backoff(_NAME, event.value, event.at_s)
+    elif event.kind == "absent":
+        known.mark_absent(_NAME, event.at_s)
+    elif event.kind == "peer_pause":
+        known.record_peer_pause(_NAME, event.value, event.at_s)
+    elif event.kind == "sent":
+        known.record_sent(_NAME, event.at_s)
+    elif event.kind == "answered":
+        known.record_answer(_NAME, event.value)
+    elif event.kind == "unlisted":
+        known.retain(frozenset(), event.at_s)
     else:
-        raise AssertionError(said.what)
+        raise AssertionError(event.kind)
 
 
-def _said(at_s, what, value=0.0):
-    return _Said(at_s=at_s, what=what, value=value)
+def _event(at_s, kind, value=0.0):
+    return _Event(at_s=at_s, kind=kind, value=value)
 
 
-_LEAVES = _said(1.0, "leaves")
-_RESTS = _said(1.0, "rests", 3.0)
+_LEAVING = _event(1.0, "leaving")
+_BACKOFF = _event(1.0, "backoff", 3.0)
 
 
 @pytest.mark.parametrize(
     ("history", "at_s", "reason"),
     [
-        pytest.param([], 1.0, None, id="nothing-said"),
-        pytest.param([_LEAVES], 1.0, _Reason.LEAVING, id="leaves"),
-        pytest.param([_LEAVES], 1e6, _Reason.LEAVING, id="time-is-no-end"),
+        pytest.param([], 1.0, None, id="no-report"),
+        pytest.param([_LEAVING], 1.0, _Reason.LEAVING, id="leaving"),
         pytest.param(
-            [_LEAVES, _said(2.0, "answered", 1.5)],
+            [_LEAVING], 1e6, _Reason.LEAVING, id="leaving-does-not-expire"
+        ),
+        pytest.param(
+            [_LEAVING, _event(2.0, "answered", 1.5)],
             2.0,
             _Reason.LEAVING,
-            id="an-answer-is-no-end-of-leaving",
+            id="a-response-does-not-end-leaving",
         ),
         pytest.param(
-            [_LEAVES, _said(2.0, "gone")],
+            [_LEAVING, _event(2.0, "unlisted")],
             3.0,
             _Reason.LEAVING,
-            id="a-lapsed-entry-is-no-end-of-leaving",
+            id="an-expired-entry-does-not-end-leaving",
+        ),
+        pytest.param(
+            [_BACKOFF, _LEAVING],
+            9.0,
+            _Reason.LEAVING,
+            id="leaving-outlasts-backoff",
         ),
+        pytest.param([_BACKOFF], 3.9, _Reason.BACKOFF, id="backoff"),
         pytest.param(
-            [_RESTS, _LEAVES], 9.0, _Reason.LEAVING, id="leaving-outlasts-rest"
+            [_BACKOFF], 4.0 + _MAX_JITTER_S, None, id="backoff-has-ended"
         ),
-        pytest.param([_RESTS], 3.9, _Reason.BACKOFF, id="rests"),
-        pytest.param([_RESTS], 4.0 + _SPREAD_S, None, id="rest-is-over"),
         pytest.param(
-            [_RESTS, _said(2.0, "answered", 0.5)],
+            [_BACKOFF, _event(2.0, "answered", 0.5)],
             3.9,
             _Reason.BACKOFF,
-            id="an-answer-to-an-older-request-is-no-end-of-a-rest",
+            id="a-response-to-an-older-request-does-not-end-a-backoff",
         ),
         pytest.param(
-            [_RESTS, _said(2.0, "gone")],
+            [_BACKOFF, _event(2.0, "unlisted")],
             3.9,
             _Reason.BACKOFF,
-            id="a-lapsed-entry-is-no-end-of-a-rest",
+            id="an-expired-entry-does-not-end-a-backoff",
         ),
         pytest.param(
-            [_RESTS, _said(2.0, "rests", 0.5)],
+            [_BACKOFF, _event(2.0, "backoff", 0.5)],
             3.9,
             _Reason.BACKOFF,
-            id="a-shorter-rest-ends-none",
+            id="a-shorter-backoff-does-not-replace-a-longer-one",
         ),
         pytest.param(
-            [_RESTS, _said(2.0, "rests", 5.0)],
+            [_BACKOFF, _event(2.0, "backoff", 5.0)],
             6.9,
             _Reason.BACKOFF,
-            id="a-longer-rest-goes-on",
+            id="a-longer-backoff-extends-it",
         ),
         pytest.param(
-            [_RESTS, _said(6.0, "sent")],
+            [_BACKOFF, _event(6.0, "sent")],
             6.1,
             _Reason.BACKOFF,
-            id="one-request-at-a-time-after-a-rest",
+            id="one-trial-request-at-a-time",
         ),
         pytest.param(
-            [_RESTS, _said(6.0, "sent"), _said(6.1, "answered", 6.0)],
+            [_BACKOFF, _event(6.0, "sent"), _event(6.1, "answered", 6.0)],
             6.1,
             None,
-            id="answered-after-a-rest",
+            id="trial-request-succeeds",
         ),
         pytest.param(
-            [_RESTS, _said(6.0, "sent"), _said(6.1, "rests", 3.0)],
+            [_BACKOFF, _event(6.0, "sent"), _event(6.1, "backoff", 3.0)],
             9.0,
             _Reason.BACKOFF,
-            id="turned-down-after-a-rest",
+            id="trial-request-gets-another-backoff",
         ),
         pytest.param(
-            [_RESTS, _said(6.0, "sent")],
+            [_BACKOFF, _event(6.0, "sent")],
             60.0,
             None,
-            id="no-answer-after-a-rest",
-        ),
-        pytest.param([_said(1.0, "absent")], 1.5, _Reason.ABSENT, id="absent"),
-        pytest.param(
-            [_said(1.0, "absent")], 60.0, None, id="absent-for-a-time"
+            id="trial-request-times-out",
         ),
+        pytest.param([_event(1.0, "absent")], 1.5, _Reason.ABSENT, id="absent"),
+        pytest.param([_event(1.0, "absent")], 60.0, None, id="absent-expires"),
         pytest.param(
-            [_said(1.0, "told", 3.0)], 2.9, _Reason.PEER, id="told-by-another"
+            [_event(1.0, "peer_pause", 3.0)],
+            2.9,
+            _Reason.PEER,
+            id="pause-from-a-peer",
         ),
         pytest.param(
-            [_said(1.0, "told", 1e9)], 60.0, None, id="told-is-not-for-long"
+            [_event(1.0, "peer_pause", 1e9)],
+            60.0,
+            None,
+            id="pause-from-a-peer-is-limited",
         ),
         pytest.param(
-            [_said(1.0, "told", 3.0), _said(2.0, "rests", 3.0)],
+            [_event(1.0, "peer_pause", 3.0), _event(2.0, "backoff", 3.0)],
             4.9,
             _Reason.BACKOFF,
-            id="its-own-statement-after-anothers",
+            id="own-report-after-a-peers",
         ),
         pytest.param(
-            [_RESTS, _said(2.0, "told", 0.1)],
+            [_BACKOFF, _event(2.0, "peer_pause", 0.1)],
             3.9,
             _Reason.BACKOFF,
-            id="another-ends-no-rest",
+            id="a-peer-does-not-end-a-backoff",
         ),
     ],
 )
-def test_whether_a_server_takes_requests(history, at_s, reason):
+def test_availability_after_reports(history, at_s, reason):
     known = _availability()
-    for said in history:
-        _play(known, said)
+    for event in history:
+        _apply(known, event)
     block = known.block(_NAME, at_s)
     assert (block and block.reason) == reason
     assert known.block("i-2", at_s) is None
 
 
-def test_a_rest_is_never_shorter_than_asked():
+def test_a_backoff_is_never_shorter_than_requested():
     for seed in range(50):
         known = availability.Availability(rng=random.Random(seed))
         known.record_backoff(_NAME, 3.0, 1.0)
         assert known.block(_NAME, 3.999) is not None
-        assert known.block(_NAME, 4.0 + _SPREAD_S) is None
+        assert known.block(_NAME, 4.0 + _MAX_JITTER_S) is None
 
 
-def test_instances_return_apart():
-    lefts = set()
+def test_instances_return_at_different_times():
+    remaining_times = set()
     for seed in range(20):
         known = availability.Availability(rng=random.Random(seed))
         known.record_backoff(_NAME, 3.0, 1.0)
-        lefts.add(round(known.block(_NAME, 1.0).remaining_s, 2))
-    assert len(lefts) > 10
+        remaining_times.add(round(known.block(_NAME, 1.0).remaining_s, 2))
+    assert len(remaining_times) > 10
 
 
-def test_many_lives_that_leave_are_not_kept_for_ever():
+def test_the_number_of_leaving_incarnations_is_limited():
     known = _availability()
     for number in range(5000):
         known.mark_leaving(f"i-{number}")
@@ -222,7 +233,7 @@
         (200, [("Retry-After", "3")], False, 0.0, ()),
     ],
 )
-def test_what_a_head_says_of_its_server(
+def test_server_report_in_a_response_head(
     status, headers, leaving, rest_s, unreadable
 ):
     raw = tuple(
@@ -233,7 +244,7 @@
     assert report.unreadable == unreadable
 
 
-def test_callers_are_not_told_that_a_server_leaves():
+def test_the_leaving_header_is_not_forwarded_to_callers():
     raw = ((b"Server-Leaving", b"1"), (b"Response-Signature", b"s"))
     head = http_dialect.HttpDialect().parse_answer(200, raw)
     assert head.headers == ((b"Response-Signature", b"s"),)
--- a/irisshelf/tests/test_backoff_under_load.py
+++ b/irisshelf/tests/test_backoff_under_load.py
@@ -1,9 +1,9 @@
-"""Servers of a busy service that ask for rest, once and in series.
+"""Backoffs of servers of a busy service, single ones and series.
 
-The pattern: a service of four servers that bears a sixth more than what comes;
-one of them, then several, turn all away for three seconds and ask for it. The
-others have to bear its share, and at the end of a rest all instances could come
-back to it in the same moment.
+Four servers have capacity for a sixth more than the load. One of them, then
+several, reject all requests for three seconds and ask for a backoff of that
+time. Guards against overload of the others, which have to take over that share,
+and against all instances returning to a server at the same moment.
 """
 
 import pytest
@@ -23,13 +23,13 @@
 _ONE = ((3.0, 0),)
 _ALL = tuple((3.0, number) for number in range(4))
 _SERIES = tuple((3.0 + 4.0 * n, n % 2) for n in range(6))
-# Without recovery, rests go on until the load ends.
-_CALM_S = 10.0
-# Of one instance, half a second after it was told or later.
-_ALLOWED_IN_A_REST = 2
+# Without recovery, backoffs continue until the load ends.
+_QUIET_S = 10.0
+# Requests that one instance may send half a second or more after it was told.
+_ALLOWED_IN_A_BACKOFF = 2
 
 
-def _load(rests, *, rests_when_full=False):
+def _load(backoffs, *, rests_when_full=False):
     return busy_service.Load(
         kinds=(_KIND,),
         servers=4,
@@ -39,7 +39,7 @@
         length_s=30.0,
         callers_return=True,
         rest_s=3.0,
-        rests=rests,
+        rests=backoffs,
         rests_when_full=rests_when_full,
     )
 
@@ -50,39 +50,39 @@
 
 
 @pytest.mark.parametrize("seed", _SEEDS)
-@pytest.mark.parametrize("rests", [_ONE, _SERIES], ids=["one", "series"])
-def test_the_others_serve_while_one_rests(rests, seed):
-    load = _load(rests)
+@pytest.mark.parametrize("backoffs", [_ONE, _SERIES], ids=["one", "series"])
+def test_the_others_serve_during_a_backoff(backoffs, seed):
+    load = _load(backoffs)
     heeding = busy_service.play(load, seed=seed)
     not_heeding = busy_service.play(load, seed=seed, heeding=False)
-    assert heeding.most_in_a_rest <= _ALLOWED_IN_A_REST
+    assert heeding.most_in_a_rest <= _ALLOWED_IN_A_BACKOFF
     assert _in_time(heeding) > _in_time(not_heeding)
-    # The others bear nine tenths of what comes.
+    # The others have capacity for nine tenths of the load.
     assert _in_time(heeding) >= 0.9
 
 
 @pytest.mark.parametrize("seed", _SEEDS)
-def test_a_rest_does_not_bring_about_the_next_ones(seed):
-    """Servers that are full ask for rest as well, as the others bear more.
+def test_a_backoff_does_not_cause_further_ones(seed):
+    """Full servers ask for a backoff too, and the others get more load.
 
-    Guards against instances that all send to the server of the lowest report.
+    Guards against instances that all send to the server with the lowest report.
     """
     outcome = busy_service.play(_load(_ONE, rests_when_full=True), seed=seed)
     assert sum(outcome.rests) == len(_ONE)
 
 
 @pytest.mark.parametrize("seed", range(10))
-@pytest.mark.parametrize("rests", [_ONE, _ALL], ids=["one", "all"])
-def test_a_service_whose_servers_have_rested_recovers(rests, seed):
-    """Guards against rests that go on as returning servers fill up at once."""
-    load = _load(rests, rests_when_full=True)
+@pytest.mark.parametrize("backoffs", [_ONE, _ALL], ids=["one", "all"])
+def test_a_service_recovers_after_backoffs(backoffs, seed):
+    """Guards against backoffs that recur as returning servers fill at once."""
+    load = _load(backoffs, rests_when_full=True)
     outcome = busy_service.play(load, seed=seed)
-    assert outcome.last_rest_s <= load.length_s - _CALM_S
+    assert outcome.last_rest_s <= load.length_s - _QUIET_S
 
 
 @pytest.mark.parametrize("seed", _SEEDS)
-def test_when_all_rest_callers_are_refused_at_once(seed):
+def test_callers_are_rejected_at_once_if_all_servers_back_off(seed):
     load = _load(_ALL)
     outcome = busy_service.play(load, seed=seed)
-    assert outcome.most_in_a_rest <= _ALLOWED_IN_A_REST
+    assert outcome.most_in_a_rest <= _ALLOWED_IN_A_BACKOFF
     assert outcome.by_kind["query"].refused > 0
--- a/irisshelf/tests/test_cold_start.py
+++ b/irisshelf/tests/test_cold_start.py
@@ -1,9 +1,9 @@
-"""Cold servers get what they bear, of all instances together.
+"""Cold servers get no more than their limit from all instances together.
 
-The pattern: the servers of a data centre come back at once, or one joins that
-owns a hot prompt. Instances that know each other only by datagrams ask for it
-at the same moment, some of them cut off, started a moment ago, or with another
-list of members.
+Guards against cold servers that fail under load when the servers of a data
+centre return at once, or when one joins that is the home of a hot prompt.
+Instances that exchange only datagrams send to it at the same moment, some of
+them cut off, started a moment ago, or with another list of members.
 """
 
 import math
@@ -23,14 +23,14 @@
 from irisshelf.testing import cold_fleet
 
 Fault = server.Fault
-# What servers bear, and what may reach them in any second.
+# The rate that servers can handle, and the limit for any second.
 _FAST = cold_start.Bounds(requests_per_s=8.9, max_in_any_second=18.35)
 _SLOW = cold_start.Bounds(requests_per_s=2.0, max_in_any_second=8.0)
 _BOUNDS = [pytest.param(_FAST, id="8.9"), pytest.param(_SLOW, id="2")]
 _HOT = cold_fleet.Load(per_s=60.0, cold_s=8.0)
 
 
-def _calm(fleet):
+def _same_view(fleet):
     del fleet
 
 
@@ -40,8 +40,8 @@
     fleet.hear(-30.0, 0.0)
 
 
-def _many_cut_off_alone(fleet):
-    """A third of the instances see nobody any more, each by itself."""
+def _many_isolated_singly(fleet):
+    """Isolates each of a third of the instances by itself."""
     third = len(fleet.names) // 3
     alone = [[name] for name in fleet.names[:third]]
     fleet.split(*alone, fleet.names[third:])
@@ -59,8 +59,8 @@
     fleet.hear(-0.9, 0.0)
 
 
-def _some_have_not_heard_of_the_newest(fleet):
-    """The list of a half lacks the others, which know all."""
+def _some_do_not_know_the_newest(fleet):
+    """Half of the instances lack the others, which know all, in their lists."""
     half = fleet.names[: len(fleet.names) // 2]
     fleet.start_anew(half, -20.0)
     fleet.hear(-20.0, 0.0)
@@ -69,71 +69,71 @@
 
 
 _VIEWS = [
-    _calm,
+    _same_view,
     _half_split,
-    _many_cut_off_alone,
+    _many_isolated_singly,
     _all_started_a_moment_ago,
     _most_started_a_moment_ago,
-    _some_have_not_heard_of_the_newest,
+    _some_do_not_know_the_newest,
 ]
 
 
 @pytest.mark.parametrize("bounds", _BOUNDS)
 @pytest.mark.parametrize("view", _VIEWS)
 @pytest.mark.parametrize("count", [1, 2, 3, 8, 24, 73, 300])
-def test_no_second_has_more_than_it_bears(count, view, bounds):
+def test_no_second_exceeds_the_limit(count, view, bounds):
     rng = random.Random(count)
     fleet = cold_fleet.Fleet(count=count, rng=rng, alone=count == 1)
     view(fleet)
-    ways = {
+    senders = {
         name: cold_fleet.Senders(own=name, bounds=bounds)
         for name in fleet.names
     }
-    outcome = fleet.play(ways, _HOT)
+    outcome = fleet.play(senders, _HOT)
     assert outcome.worst_second <= bounds.max_in_any_second
 
 
 @pytest.mark.parametrize("bounds", _BOUNDS)
 @pytest.mark.parametrize("count", [2, 8, 24, 73, 300])
-def test_what_it_bears_is_used(count, bounds):
-    """Half of it at least, where all know each other."""
+def test_the_capacity_is_used(count, bounds):
+    """At least half of it is used if all instances know each other."""
     fleet = cold_fleet.Fleet(count=count, rng=random.Random(count))
-    ways = {
+    senders = {
         name: cold_fleet.Senders(own=name, bounds=bounds)
         for name in fleet.names
     }
-    # So many that each sender is asked whenever it is its turn.
+    # A load at which every sender has a request at each of its intervals.
     load = cold_fleet.Load(per_s=20.0 * count, cold_s=8.0)
-    outcome = fleet.play(ways, load)
+    outcome = fleet.play(senders, load)
     assert outcome.served * load.per_s >= 0.5 * bounds.requests_per_s
 
 
 @pytest.mark.parametrize(
     ("make", "view"),
     [
-        (cold_fleet.Shares, _calm),
+        (cold_fleet.Shares, _same_view),
         (
             lambda own, bounds: cold_fleet.SlowStart(
                 own=own, bounds=bounds, cold_s=_HOT.cold_s
             ),
-            _calm,
+            _same_view,
         ),
     ],
     ids=["shares", "slow-start"],
 )
 @pytest.mark.parametrize("bounds", _BOUNDS)
-def test_other_ways_do_not_hold(make, view, bounds):
-    """Kept with the way that stands, so that the reason for it is shown."""
+def test_alternatives_exceed_the_limit(make, view, bounds):
+    """Shows why senders are ranked and keep intervals."""
     fleet = cold_fleet.Fleet(count=73, rng=random.Random(1))
     view(fleet)
-    ways = {name: make(own=name, bounds=bounds) for name in fleet.names}
-    outcome = fleet.play(ways, _HOT)
+    senders = {name: make(own=name, bounds=bounds) for name in fleet.names}
+    outcome = fleet.play(senders, _HOT)
     assert outcome.worst_second > bounds.max_in_any_second
 
 
 @pytest.mark.parametrize("bounds", _BOUNDS)
 @pytest.mark.parametrize("members", range(40))
-def test_a_share_keeps_half_of_the_bound_in_any_second(members, bounds):
+def test_shares_use_at_most_half_of_the_limit_in_any_second(members, bounds):
     share = cold_start.share(bounds, members)
     assert share.senders <= members
     if share.senders:
@@ -150,13 +150,13 @@
         cold_start.Bounds(requests_per_s=1.0, max_in_any_second=1.0),
     ],
 )
-def test_a_bound_that_leaves_nothing_to_share_out_gets_nothing(bounds):
+def test_a_limit_too_low_to_share_allows_no_requests(bounds):
     assert cold_start.share(bounds, 9).senders == 0
     starts = cold_start.ColdStarts(own="n1")
     assert starts.next_send_in_s("s", bounds, ("n1",), 0.0) == math.inf
 
 
-def test_the_first_waits_for_what_was_sent_while_the_server_was_warm():
+def test_the_first_request_waits_for_those_sent_while_the_server_was_warm():
     starts = cold_start.ColdStarts(own="n1")
     starts.record_cold_time("s", 3.0, 10.0)
     assert starts.next_send_in_s("s", _FAST, ("n1",), 10.0) > 1.0
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "left_s"),
+    ("reports", "remaining_s"),
     [
         ([("record_cold_time", 3.0, 0.0)], 2.0),
         ([("record_cold_time", 0.0, 0.0)], 0.0),
@@ -176,26 +176,26 @@
         ([("record_cold_time", 1.0, 0.0)], 0.0),
     ],
 )
-def test_how_long_a_server_is_cold(words, left_s):
+def test_remaining_cold_time(reports, remaining_s):
     starts = cold_start.ColdStarts(own="n1")
-    for what, given_s, now in words:
-        getattr(starts, what)("s", given_s, now)
-    assert starts.remaining_s("s", 1.0) == left_s
+    for method, given_s, now in reports:
+        getattr(starts, method)("s", given_s, now)
+    assert starts.remaining_s("s", 1.0) == remaining_s
 
 
-# Whether an instance counts itself among those that share something out.
+# Whether an instance counts itself among the members of its data centre.
 
 
-def _members(*, alone=False, began_s=-100.0, elsewhere=True):
+def _members(*, alone=False, began_s=-100.0, has_remote=True):
     own = membership_module.Member(name="n0", address="", data_centre="a")
-    roster = membership_module.Membership(own=own)
-    if elsewhere:
+    membership = membership_module.Membership(own=own)
+    if has_remote:
         far = membership_module.Member(name="far", address="", data_centre="b")
-        roster.record_alive(far, 10.0)
+        membership.record_alive(far, 10.0)
     found = local_membership.LocalMembership(
-        membership=roster, alone=alone, began_s=began_s
+        membership=membership, alone=alone, began_s=began_s
     )
-    return roster, found
+    return membership, found
 
 
 def _near(name):
@@ -205,35 +205,35 @@
 @pytest.mark.parametrize(
     ("options", "others", "now", "known"),
     [
-        ({"alone": True, "began_s": 9.9, "elsewhere": False}, 0, 10.0, 1),
-        ({"elsewhere": False}, 0, 10.0, 0),
+        ({"alone": True, "began_s": 9.9, "has_remote": False}, 0, 10.0, 1),
+        ({"has_remote": False}, 0, 10.0, 0),
         ({}, 0, 10.0, 1),
         ({}, 5, 10.0, 6),
         ({"began_s": 8.0}, 5, 10.0, 0),
     ],
 )
-def test_who_knows_the_others_well_enough(options, others, now, known):
-    roster, members = _members(**options)
+def test_members_known_reliably(options, others, now, known):
+    membership, members = _members(**options)
     for number in range(others):
-        roster.record_alive(_near(f"n{number + 1}"), now)
+        membership.record_alive(_near(f"n{number + 1}"), now)
     assert len(members.names(now)) == known
 
 
-def test_who_has_lost_sight_of_most_does_not_count_itself():
-    """It slept, or is cut off: it would take all shares on."""
-    roster, members = _members()
+def test_an_instance_that_has_lost_most_others_does_not_count_itself():
+    """It was suspended or is cut off, and would take over all shares."""
+    membership, members = _members()
     for number in range(9):
-        roster.record_alive(_near(f"n{number + 1}"), 10.0)
+        membership.record_alive(_near(f"n{number + 1}"), 10.0)
     assert len(members.names(10.0)) == 10
-    # Nobody was heard for seven seconds but three.
+    # Only three members were heard of in the last seven seconds.
     for number in range(3):
-        roster.record_alive(_near(f"n{number + 1}"), 17.0)
+        membership.record_alive(_near(f"n{number + 1}"), 17.0)
     assert members.names(17.0) == ()
-    roster.record_alive(_near("n4"), 17.1)
+    membership.record_alive(_near("n4"), 17.1)
     assert len(members.names(17.1)) == 5
 
 
-# The whole path.
+# The complete request path.
 
 _COLD = settings.Bounds(cold_overage=1.5, cold_slack=5.0)
 
@@ -249,7 +249,7 @@
     return world
 
 
-def _cool(world, *servers, ms=60_000):
+def _make_cold(world, *servers, ms=60_000):
     for one in servers:
         one.cold_ms = ms
         world.store.put("servers", one.server_id, one.entry())
@@ -265,33 +265,33 @@
 @pytest.mark.parametrize("target", ["/digest/1", "/alarm/1", "/valve/1"])
 def test_requests_go_to_warm_servers(cold_world, target):
     cold = [cold_world.plain[0], cold_world.engines[0]]
-    _cool(cold_world, *cold)
+    _make_cold(cold_world, *cold)
     for number in range(12):
         answer = cold_world.ask(target, Prefix_Hash=f"s{number}:900,own:9")
         assert answer.status == 200
     assert not any(one.runs for one in cold)
 
 
-def test_a_second_send_does_not_go_to_a_cold_server(cold_world):
+def test_a_retry_does_not_go_to_a_cold_server(cold_world):
     one, *others = cold_world.plain
-    _cool(cold_world, one)
+    _make_cold(cold_world, one)
     for other in others:
         other.always = Fault.FAIL
     assert cold_world.ask("/valve/1").status == 500
     assert not one.runs
 
 
-def test_a_service_of_cold_servers_gets_what_it_bears_and_refuses_the_rest(
+def test_a_service_of_cold_servers_serves_up_to_the_limit_and_rejects_the_rest(
     cold_world,
 ):
-    _cool(cold_world, *cold_world.plain)
-    # What was sent to them while they were warm passes first.
+    _make_cold(cold_world, *cold_world.plain)
+    # Requests sent while the servers were warm have to arrive first.
     gevent.sleep(1.2)
     answers = [cold_world.ask("/alarm/1") for _ in range(40)]
     served = [a for a in answers if a.status == 200]
     refused = [a for a in answers if a.status == 503]
     assert len(served) + len(refused) == 40
-    # One instance: four a second for each of three servers, two on average.
+    # For one instance, four a second to each of three servers; two on average.
     assert 3 <= len(served) <= 3 * 8
     for answer in refused:
         assert 0 < float(answer.headers["retry-after"]) <= 60 * 1.3
@@ -299,14 +299,14 @@
         assert len(one.runs) <= 8
 
 
-def test_a_server_that_has_warmed_up_takes_its_own_again(cold_world):
-    _cool(cold_world, *cold_world.plain)
+def test_a_server_that_has_warmed_up_gets_requests_again(cold_world):
+    _make_cold(cold_world, *cold_world.plain)
     assert cold_world.ask("/alarm/1").status == 503
-    _cool(cold_world, *cold_world.plain, ms=0)
+    _make_cold(cold_world, *cold_world.plain, ms=0)
     assert cold_world.ask("/alarm/1").status == 200
 
 
-def test_after_an_evacuation_servers_are_taken_for_cold(make_world):
+def test_after_an_evacuation_servers_are_assumed_cold(make_world):
     world = make_world(bounds=_COLD, places=("a", "b"))
     document = world_module.config(2)
     for one in document["services"]:
@@ -319,12 +319,12 @@
     world.wait(lambda: not world.inst.evacuations.now())
     cold = world.inst.eligible.cold
     for one in world.inst.directory.servers():
-        left_s = cold.remaining_s(one.server_id, world.inst.now())
-        assert (left_s > 2.0) is (one.data_centre == "a")
+        remaining_s = cold.remaining_s(one.server_id, world.inst.now())
+        assert (remaining_s > 2.0) is (one.data_centre == "a")
 
 
-def test_a_server_whose_process_was_gone_is_taken_for_cold(cold_world):
-    """It may be back under its id before its entry says that it is cold."""
+def test_a_server_whose_process_had_exited_is_assumed_cold(cold_world):
+    """It may return under its id before its entry says that it is cold."""
     one = cold_world.plain[0]
     listed = cold_world.inst.directory.get(one.server_id)
     one.away_s = 0.5
@@ -338,7 +338,7 @@
 
 
 @pytest.mark.parametrize("cold_ms", [-1, "soon", 10**9])
-def test_an_entry_with_no_time_names_no_server(cold_world, cold_ms):
+def test_an_entry_with_an_invalid_cold_time_is_ignored(cold_world, cold_ms):
     one = cold_world.plain[0]
     entry = one.entry() | {"coldRemainingMs": cold_ms}
     cold_world.store.put("servers", one.server_id, entry)
@@ -347,7 +347,7 @@
     )
 
 
-def test_without_a_bound_a_cold_server_is_as_good_as_others(make_world):
+def test_without_a_limit_a_cold_server_gets_requests_as_others_do(make_world):
     world = make_world(bounds=_COLD)
     for one in world.plain:
         one.cold_ms = 60_000
@@ -362,13 +362,13 @@
     assert world.ask("/alarm/1").status == 200
 
 
-@pytest.mark.parametrize("known", ["this-life", "the-life-before"])
-def test_another_instances_word_holds_where_the_store_is_silent(
+@pytest.mark.parametrize("known", ["same-incarnation", "previous-incarnation"])
+def test_a_cold_time_from_a_peer_is_used_if_the_store_has_none(
     cold_world, known
 ):
-    """The server is back under its id; here the earlier life is known."""
+    """The server has restarted under its id; the old incarnation is listed."""
     one = cold_world.plain[0]
-    if known == "the-life-before":
+    if known == "previous-incarnation":
         one.born_ms = 1_700_000_000_000
         cold_world.store.put("servers", one.server_id, one.entry())
         cold_world.wait(
@@ -381,14 +381,16 @@
     )
     cold_world.inst.servers.apply_fact(fact)
     cold = cold_world.inst.eligible.cold
-    left_s = cold.remaining_s(listed.server_id, cold_world.inst.now())
-    assert 1.9 < left_s <= 2.0
+    remaining_s = cold.remaining_s(listed.server_id, cold_world.inst.now())
+    assert 1.9 < remaining_s <= 2.0
 
 
-def test_what_the_store_says_of_coldness_is_told(cold_world):
-    told = []
-    cold_world.inst.servers.publish = told.append
-    _cool(cold_world, cold_world.plain[0])
-    colds = [fact for fact in told if isinstance(fact, facts.ServerCold)]
+def test_cold_times_from_the_store_are_published(cold_world):
+    published = []
+    cold_world.inst.servers.publish = published.append
+    _make_cold(cold_world, cold_world.plain[0])
+    cold_facts = [
+        fact for fact in published if isinstance(fact, facts.ServerCold)
+    ]
     key = directory.key_of(cold_world.plain[0].server_id)
-    assert {fact.server for fact in colds} == {key}
+    assert {fact.server for fact in cold_facts} == {key}
--- a/irisshelf/tests/test_fetch_source.py
+++ b/irisshelf/tests/test_fetch_source.py
@@ -1,8 +1,9 @@
-"""Who hands on shared parts that a server lacks, by what is known.
+"""Selection of the server that serves shared parts which another one lacks.
 
-The pattern: a long part of a prompt moves to another server beside many others
-that share a short first part; the word on who holds the long one is late or
-lost, while half of the servers are known to hold the first.
+Guards against reprocessing a long part that a server has cached. A long part
+moves to another server, next to many others that share a short first part. The
+announcement of the long part is late or lost, while half of the servers are
+known to have the first one.
 """
 
 import random
@@ -26,20 +27,20 @@
     )
     for number in range(6)
 ]
-# By their place in the ranking of the subject.
+# By rank for the affinity key.
 _RANKED = ranking.rank(_SERVERS, "long")
 _HOME, _SECOND, _THIRD = (server.server_id for server in _RANKED[:3])
 
 
-def _asked(first, last):
+def _requested(first, last):
     parts = (("short", first), ("long", last), ("own", 9))
     return prompt.Prompt(
         parts=tuple(prompt.Part(part_id=p, tokens=n) for p, n in parts)
     )
 
 
-def _choose(way, chosen, asked, known):
-    """Chooses with what is known: server and since when, by part."""
+def _choose(strategy, chosen, requested, known):
+    """Selects a source; ``known`` maps parts to servers and first sends."""
 
     def holders_of(part_id):
         return {
@@ -51,7 +52,9 @@
 
     by_name = {server.server_id: server for server in _SERVERS}
     others = [s for s in _SERVERS if s.server_id != chosen]
-    found = fetch_source.choose(way, others, by_name[chosen], asked, holders_of)
+    found = fetch_source.choose(
+        strategy, others, by_name[chosen], requested, holders_of
+    )
     return found.server_id if found else None
 
 
@@ -123,64 +126,68 @@
         ),
     ],
 )
-def test_who_serves_parts(chosen, tokens, known, by_known, by_likely):
-    asked = _asked(*tokens)
-    assert _choose(_KNOWN, chosen, asked, known) == by_known
-    assert _choose(_LIKELY, chosen, asked, known) == by_likely
+def test_selected_source(chosen, tokens, known, by_known, by_likely):
+    requested = _requested(*tokens)
+    assert _choose(_KNOWN, chosen, requested, known) == by_known
+    assert _choose(_LIKELY, chosen, requested, known) == by_likely
 
 
-@pytest.mark.parametrize("way", list(fetch_source.Strategy))
-def test_without_others_there_is_nobody(way):
+@pytest.mark.parametrize("strategy", list(fetch_source.Strategy))
+def test_without_other_servers_there_is_no_source(strategy):
     found = fetch_source.choose(
-        way, [], _SERVERS[0], _asked(500, 9000), lambda part_id: {}
+        strategy, [], _SERVERS[0], _requested(500, 9000), lambda part_id: {}
     )
     assert found is None
 
 
-def test_less_is_read_again_where_word_is_late():
-    """Parts move as their homes are full; most word on long parts is lost.
+def test_less_is_reprocessed_if_announcements_are_late():
+    """Parts move since their homes are full; most announcements are lost.
 
-    Counted are tokens that are read though a server has them.
+    Counts the tokens that are processed although a server has them cached.
     """
-    assert _read_again(_LIKELY) < _read_again(_KNOWN)
+    assert _reprocessed_tokens(_LIKELY) < _reprocessed_tokens(_KNOWN)
 
 
-def _read_again(way):
+def _reprocessed_tokens(strategy):
     rng = random.Random(5)
-    truth = {server.server_id: set() for server in _SERVERS}
+    cached = {server.server_id: set() for server in _SERVERS}
     known = {}
-    read_again = 0
+    reprocessed = 0
     for turn in range(4000):
         subject = f"long-{rng.randrange(60)}"
         first = f"short-{rng.randrange(3)}"
-        asked = prompt.Prompt(
+        requested = prompt.Prompt(
             parts=(
                 prompt.Part(part_id=first, tokens=500),
                 prompt.Part(part_id=subject, tokens=9000),
                 prompt.Part(part_id="own", tokens=9),
             )
         )
-        place = 0 if rng.random() < 0.8 else rng.randrange(1, 3)
-        chosen = ranking.rank(_SERVERS, subject)[place]
+        rank = 0 if rng.random() < 0.8 else rng.randrange(1, 3)
+        chosen = ranking.rank(_SERVERS, subject)[rank]
         others = [s for s in _SERVERS if s != chosen]
         source = fetch_source.choose(
-            way, others, chosen, asked, lambda part: known.get(part, {})
+            strategy,
+            others,
+            chosen,
+            requested,
+            lambda part: known.get(part, {}),
         )
-        has = truth[chosen.server_id]
+        has = cached[chosen.server_id]
         if source is not None:
-            has |= truth[source.server_id] & {first, subject}
-        for part in asked.shared:
-            held_anywhere = any(part.part_id in t for t in truth.values())
+            has |= cached[source.server_id] & {first, subject}
+        for part in requested.shared:
+            held_anywhere = any(part.part_id in t for t in cached.values())
             if part.part_id not in has and held_anywhere:
-                read_again += part.tokens
+                reprocessed += part.tokens
             has.add(part.part_id)
-            heard = part.part_id.startswith("short") or rng.random() < 0.3
-            if heard:
+            announced = part.part_id.startswith("short") or rng.random() < 0.3
+            if announced:
                 held = cache_locations.CacheEntry(
                     first_sent_s=turn, last_sent_s=turn
                 )
                 known.setdefault(part.part_id, {})[chosen.server_id] = held
         if rng.random() < 0.02:
-            # Memory is short: a part gives way.
+            # The server evicts a part.
             has.discard(subject)
-    return read_again
+    return reprocessed
--- a/irisshelf/tests/test_overload.py
+++ b/irisshelf/tests/test_overload.py
@@ -1,11 +1,12 @@
-"""Loads that a service cannot serve: who waits, who is refused, who comes back.
-
-The pattern: for six seconds four times the ordinary requests come, while a
-third of the servers is gone (six of nine are left, with 48 places each); or one
-team brings ten times its usual. Kinds, rates, times and objectives are those
-of a customer's sheet: short chats, long reports on shared files, and labels.
-Figures asked for are what three seeds reach, rounded down to the next five
-hundredths; without admission the same loads are served as the tables say.
+"""Admission under overload: waits, rejections, and retries of callers.
+
+Guards against overload in which requests wait beyond their objectives, or one
+team crowds out the others. For six seconds four times the ordinary requests
+arrive while a third of the servers is gone (six of nine remain, with 48 slots
+each), or one team sends ten times its usual rate. Request kinds, rates, times
+and objectives are a customer's: short chats, long reports on shared files, and
+labels. The required figures are the results of three seeds, rounded down to the
+next five hundredths; each load is also run without admission control.
 """
 
 import pytest
@@ -13,9 +14,9 @@
 from irisshelf.routing.direct import overload
 from irisshelf.testing import busy_service
 
-# Callers stay away for a third of their deadlines at the most. Places are held
-# for the events of an answer at the pace of a full server: 385, 294 and 21
-# tokens at 5.5 ms.
+# Callers wait for a third of their deadlines at most before a retry. Slots are
+# occupied for the events of a response at the rate of a full server: 385, 294
+# and 21 tokens at 5.5 ms.
 _CHAT = busy_service.Kind(
     name="chat",
     priority=0,
@@ -84,8 +85,8 @@
     return seen.share(seen.in_time)
 
 
-def _in_vain(seen):
-    """Kept waiting and not served."""
+def _waited_unserved(seen):
+    """Returns the share of requests that waited and were not served."""
     return seen.share(seen.turned_down + seen.left)
 
 
@@ -101,20 +102,22 @@
 @pytest.mark.parametrize(
     ("kind", "least"), [("chat", 0.55), ("report", 0.4), ("label", 0.35)]
 )
-def test_in_a_burst_more_begin_in_time_than_if_all_wait(burst, kind, least):
+def test_in_a_burst_more_requests_start_in_time_than_if_all_wait(
+    burst, kind, least
+):
     admitted, all_sent = (outcome.by_kind[kind] for outcome in burst)
     assert _in_time(admitted) >= least
     assert _in_time(admitted) >= _in_time(all_sent) + 0.01
 
 
 @pytest.mark.parametrize("kind", ["chat", "report", "label"])
-def test_in_a_burst_nobody_waits_in_vain(burst, kind):
+def test_in_a_burst_hardly_any_requests_wait_unserved(burst, kind):
     admitted, all_sent = (outcome.by_kind[kind] for outcome in burst)
-    assert _in_vain(admitted) <= 0.02
-    assert _in_vain(all_sent) >= 0.25
+    assert _waited_unserved(admitted) <= 0.02
+    assert _waited_unserved(all_sent) >= 0.25
 
 
-def test_in_a_burst_the_more_urgent_are_served_more_often(burst):
+def test_in_a_burst_more_urgent_requests_are_served_more_often(burst):
     served = [
         seen.share(seen.in_time + seen.late)
         for seen in (burst[0].by_kind[k] for k in ("chat", "report", "label"))
@@ -123,28 +126,28 @@
     assert min(served) >= overload.MIN_SERVED_RATIO * served[0]
 
 
-def test_those_refused_are_told_to_return_one_after_the_other(burst):
-    told = burst[0].by_kind["chat"].retry_after_s
-    # By one instance they are in order; seven together do not pile up.
-    halves = [int(at_s * 2) for at_s in told]
+def test_retries_of_rejected_callers_are_spread_over_time(burst):
+    delays_s = burst[0].by_kind["chat"].retry_after_s
+    # Each instance schedules them in order; those of seven do not coincide.
+    halves = [int(at_s * 2) for at_s in delays_s]
     fullest = max(halves.count(half) for half in set(halves))
-    assert fullest <= len(told) / 20
+    assert fullest <= len(delays_s) / 20
 
 
 @pytest.mark.parametrize("seed", _SEEDS)
-def test_more_of_those_who_return_as_told_are_served_than_if_at_once(seed):
+def test_retries_at_the_scheduled_time_succeed_more_often_than_at_once(seed):
     load = _load(_burst, callers_return=True)
-    as_told = busy_service.play(load, seed=seed).by_kind["chat"]
-    at_once = busy_service.play(load, seed=seed, told_s=0.1).by_kind["chat"]
-    served, served_at_once = (
-        seen.served_at_return / seen.returned for seen in (as_told, at_once)
+    scheduled = busy_service.play(load, seed=seed).by_kind["chat"]
+    immediate = busy_service.play(load, seed=seed, told_s=0.1).by_kind["chat"]
+    served, served_immediate = (
+        seen.served_at_return / seen.returned for seen in (scheduled, immediate)
     )
     assert served >= 0.5
-    assert served >= 1.5 * served_at_once
+    assert served >= 1.5 * served_immediate
 
 
 @pytest.mark.parametrize("seed", _SEEDS)
-def test_a_team_at_ten_times_its_usual_does_not_push_out_the_others(seed):
+def test_a_team_at_ten_times_its_usual_rate_does_not_crowd_out_the_others(seed):
     load = _load(_more, _hot_team)
     outcome = busy_service.play(load, seed=seed)
     hot = outcome.by_team["a"]
@@ -155,7 +158,7 @@
 
 
 @pytest.mark.parametrize("seed", _SEEDS)
-def test_an_ordinary_load_is_not_refused(seed):
+def test_an_ordinary_load_is_not_rejected(seed):
     outcome = busy_service.play(_load(lambda at_s: 1.0), seed=seed)
     refused = sum(seen.refused for seen in outcome.by_kind.values())
     assert refused == 0
@@ -173,13 +176,13 @@
 @pytest.mark.parametrize(
     ("load", "slots", "wait_s"),
     [
-        pytest.param(10, 48, 0.0, id="places-free"),
-        pytest.param(47, 48, 0.0, id="the-last-place"),
-        pytest.param(95, 48, 0.5, id="a-whole-turn"),
-        pytest.param(95, 0, 0.0, id="slots-not-known"),
+        pytest.param(10, 48, 0.0, id="slots-free"),
+        pytest.param(47, 48, 0.0, id="last-slot"),
+        pytest.param(95, 48, 0.5, id="one-service-time"),
+        pytest.param(95, 0, 0.0, id="slots-unknown"),
     ],
 )
-def test_a_wait_is_expected_from_what_waits(load, slots, wait_s):
+def test_estimated_wait_by_queue_length(load, slots, wait_s):
     assert overload.AdmissionControl().estimated_wait_s(
         load, slots
     ) == pytest.approx(wait_s)
@@ -188,76 +191,76 @@
 @pytest.mark.parametrize(
     ("wait_s", "refused"), [(0.0, False), (0.17, False), (0.19, True)]
 )
-def test_a_request_is_refused_if_it_would_wait_too_long(wait_s, refused):
-    gate = overload.AdmissionControl()
+def test_a_request_is_rejected_if_it_would_wait_too_long(wait_s, refused):
+    admission = overload.AdmissionControl()
     for n in range(20):
-        gate.admit(_arrival(), 0.0, n / 100)
-    assert (gate.admit(_arrival(), wait_s, 0.2) is not None) is refused
+        admission.admit(_arrival(), 0.0, n / 100)
+    assert (admission.admit(_arrival(), wait_s, 0.2) is not None) is refused
 
 
-def test_the_less_urgent_are_refused_first():
-    gate = overload.AdmissionControl()
+def test_less_urgent_requests_are_rejected_first():
+    admission = overload.AdmissionControl()
     for n in range(40):
-        gate.admit(_arrival(priority=n % 2), 0.0, n / 100)
-    assert gate.admit(_arrival(priority=1), 0.12, 0.4) is not None
-    assert gate.admit(_arrival(priority=0), 0.12, 0.4) is None
+        admission.admit(_arrival(priority=n % 2), 0.0, n / 100)
+    assert admission.admit(_arrival(priority=1), 0.12, 0.4) is not None
+    assert admission.admit(_arrival(priority=0), 0.12, 0.4) is None
 
 
-def _teams_share(gate, hot, seconds, start_s=0.0):
-    """Lets ten teams ask, one of them as often as all others together."""
+def _send_from_teams(admission, hot, seconds, start_s=0.0):
+    """Lets ten teams send, one of them as much as all others together."""
     for n in range(int(seconds * 100)):
         team = hot if n % 2 else "abcdefghij"[n // 2 % 10]
-        gate.admit(_arrival(team=team), 0.0, start_s + n / 100)
+        admission.admit(_arrival(team=team), 0.0, start_s + n / 100)
 
 
 @pytest.mark.parametrize(
     ("team", "wait_s", "refused"),
     [("a", 0.0, False), ("a", 0.1, True), ("b", 0.1, False)],
 )
-def test_a_team_far_above_its_share_gets_free_places_only(
-    team, wait_s, refused
-):
-    gate = overload.AdmissionControl()
-    _teams_share(gate, "a", 2.0)
-    found = gate.admit(_arrival(team=team), wait_s, 2.0)
+def test_a_team_far_above_its_share_gets_only_free_slots(team, wait_s, refused):
+    admission = overload.AdmissionControl()
+    _send_from_teams(admission, "a", 2.0)
+    found = admission.admit(_arrival(team=team), wait_s, 2.0)
     assert (found is not None) is refused
 
 
-def test_a_team_that_is_always_large_is_no_surge():
-    gate = overload.AdmissionControl()
-    _teams_share(gate, "a", 600.0)
-    assert gate.admit(_arrival(team="a"), 0.1, 600.0) is None
+def test_a_team_at_its_usual_large_share_is_not_limited():
+    admission = overload.AdmissionControl()
+    _send_from_teams(admission, "a", 600.0)
+    assert admission.admit(_arrival(team="a"), 0.1, 600.0) is None
 
 
-def test_a_wait_beyond_what_is_left_is_refused():
-    gate = overload.AdmissionControl()
-    assert gate.admit(_arrival(remaining_s=0.05), 0.1, 0.0) is not None
+def test_a_wait_beyond_the_remaining_time_is_rejected():
+    admission = overload.AdmissionControl()
+    assert admission.admit(_arrival(remaining_s=0.05), 0.1, 0.0) is not None
 
 
-def test_what_cannot_begin_before_its_caller_leaves_is_refused():
-    gate = overload.AdmissionControl()
+def test_a_request_that_cannot_start_before_its_deadline_is_rejected():
+    admission = overload.AdmissionControl()
     for n in range(20):
-        gate.admit(_arrival(priority=n % 2), 0.0 if n % 2 else 5.0, n / 100)
-    assert gate.admit(_arrival(remaining_s=2.4), 2.5, 0.2) is not None
+        admission.admit(
+            _arrival(priority=n % 2), 0.0 if n % 2 else 5.0, n / 100
+        )
+    assert admission.admit(_arrival(remaining_s=2.4), 2.5, 0.2) is not None
 
 
-def test_who_is_refused_later_in_an_overload_is_told_to_stay_away_longer():
-    gate = overload.AdmissionControl()
-    told = [gate.retry_after_s(0.1, n / 10) for n in range(40)]
-    assert told[0] == pytest.approx(0.2)
-    assert told[39] == pytest.approx(2 * 3.9)
-    assert gate.retry_after_s(0.1, 10.0) == pytest.approx(0.2)
+def test_retry_after_grows_with_the_length_of_an_overload():
+    admission = overload.AdmissionControl()
+    delays_s = [admission.retry_after_s(0.1, n / 10) for n in range(40)]
+    assert delays_s[0] == pytest.approx(0.2)
+    assert delays_s[39] == pytest.approx(2 * 3.9)
+    assert admission.retry_after_s(0.1, 10.0) == pytest.approx(0.2)
 
 
-def test_nobody_is_told_to_stay_away_for_minutes():
-    gate = overload.AdmissionControl()
+def test_retry_after_has_an_upper_limit():
+    admission = overload.AdmissionControl()
     for n in range(200):
-        gate.admit(_arrival(), 0.0 if n < 5 else 9.0, n / 100)
-    told = [gate.retry_after_s(9.0, 2.0 + n / 2) for n in range(400)]
-    assert max(told) == pytest.approx(30.0)
+        admission.admit(_arrival(), 0.0 if n < 5 else 9.0, n / 100)
+    delays_s = [admission.retry_after_s(9.0, 2.0 + n / 2) for n in range(400)]
+    assert max(delays_s) == pytest.approx(30.0)
 
 
-def test_a_route_without_an_objective_sets_none():
-    gate = overload.AdmissionControl()
-    gate.admit(_arrival(objective_s=0.0), 0.0, 0.0)
-    assert gate.admit(_arrival(objective_s=0.3), 0.1, 0.1) is None
+def test_a_route_without_an_objective_does_not_set_one():
+    admission = overload.AdmissionControl()
+    admission.admit(_arrival(objective_s=0.0), 0.0, 0.0)
+    assert admission.admit(_arrival(objective_s=0.3), 0.1, 0.1) is None
--- a/irisshelf/tests/test_overload_many_instances.py
+++ b/irisshelf/tests/test_overload_many_instances.py
@@ -1,21 +1,22 @@
 """Admission by many instances, each of which sees little of the load.
 
-The pattern: for eight seconds three times the ordinary requests come, from
-forty teams; or one team brings two thirds of them. Kinds, rates, times and
-objectives are those of a customer with 195 instances; places suffice for 1.35
-times the ordinary load. Requests go to the homes of their prompts, so that each
-instance sees a server through gossip and a few requests of its own.
-Figures asked for are what the seeds reach, rounded down to the next five
-hundredths; if all is sent, at most 0.59 of the queries, 0.38 of the digests and
-0.30 of the labels begin in time, and 0.30 to 0.65 of a kind wait in vain.
+Guards against instances that admit too much since they know a server only by
+gossip and a few requests of their own: requests go to the homes of their
+prompts. For eight seconds three times the ordinary requests arrive, from forty
+teams, or one team sends two thirds of them. Request kinds, rates, times and
+objectives are those of a customer with 195 instances; the capacity is 1.35
+times the ordinary load. The required figures are the results of the seeds,
+rounded down to the next five hundredths. If all requests are sent, at most 0.59
+of the queries, 0.38 of the digests and 0.30 of the labels start in time, and
+0.30 to 0.65 of a kind wait and are not served.
 """
 
 import pytest
 
 from irisshelf.testing import busy_service
 
-# Callers stay away for a third of their deadlines at the most. Places are held
-# for the events of an answer at the pace of a busy server.
+# Callers wait for a third of their deadlines at most before a retry. Slots are
+# occupied for the events of a response at the rate of a busy server.
 _QUERY = busy_service.Kind(
     name="query",
     priority=0,
@@ -82,7 +83,7 @@
     ("instances", "query", "digest", "label"),
     [(7, 0.7, 0.45, 0.35), (39, 0.65, 0.5, 0.4), (195, 0.65, 0.55, 0.4)],
 )
-def test_in_a_burst_most_begin_in_time_and_hardly_any_wait_in_vain(
+def test_in_a_burst_most_requests_start_in_time_and_few_wait_unserved(
     seed, instances, query, digest, label
 ):
     outcome = busy_service.play(_load(instances), seed=seed)
@@ -96,7 +97,7 @@
 @pytest.mark.parametrize(
     ("instances", "least"), [(7, 0.85), (39, 0.8), (195, 0.8)]
 )
-def test_a_team_with_two_thirds_of_all_does_not_push_out_the_others(
+def test_a_team_with_two_thirds_of_the_load_does_not_crowd_out_the_others(
     seed, instances, least
 ):
     outcome = busy_service.play(_load(instances, _hot_team), seed=seed)
--- a/irisshelf/tests/test_stale_load.py
+++ b/irisshelf/tests/test_stale_load.py
@@ -1,7 +1,8 @@
-"""Choosing by old reports of load, and limits of servers that have rested.
+"""Selection by stale load reports, and load limits after a backoff.
 
-The pattern: many instances, each with its own few requests, see the same report
-of the least loaded server; a server turns away for seconds what it cannot hold.
+Guards against two failures. Many instances, each with a few requests of its
+own, see the same report of the least loaded server and all send to it. And a
+server that is full rejects all requests for several seconds.
 """
 
 import collections
@@ -36,30 +37,32 @@
 
 
 @pytest.mark.parametrize(
-    ("unseen", "own", "added"),
+    ("unreported", "own", "added"),
     [
         (0.0, (0, 0, 0), (0.0, 0.0, 0.0)),
-        # The cheapest first, until it costs as much as the next.
+        # To the cheapest server until its cost reaches that of the next.
         (1.0, (0, 0, 0), (1.0, 0.0, 0.0)),
         (3.0, (0, 0, 0), (2.0, 1.0, 0.0)),
         (6.0, (0, 0, 0), (3.0, 2.0, 1.0)),
-        # As this instance did, as far as it did anything.
+        # Weighted by the requests of this instance.
         (3.0, (0, 1, 0), (1.0, 2.0, 0.0)),
     ],
 )
-def test_unseen_work_is_spread(unseen, own, added):
-    found = stale_load.spread_unreported(_costs(1.0, 2.0, 3.0, own=own), unseen)
+def test_unreported_requests_are_spread(unreported, own, added):
+    found = stale_load.spread_unreported(
+        _costs(1.0, 2.0, 3.0, own=own), unreported
+    )
     assert tuple(found.values()) == pytest.approx(added)
 
 
-def _sends(way, *, instances, age_s):
-    """Instances that know the same reports send a request each."""
+def _sends(strategy, *, instances, age_s):
+    """Lets instances with the same reports send one request each."""
     got = collections.Counter()
     for number in range(instances):
         chooser = server_choice.Chooser(
             data_centre="a",
             rng=random.Random(number),
-            policy=policy.Policy(stale_load=way),
+            policy=policy.Policy(stale_load=strategy),
         )
         chooser.stats.record_residence_time(0.1)
         for server, work in zip(_SERVERS, (5, 6, 7), strict=True):
@@ -77,7 +80,7 @@
 def test_instances_do_not_all_send_to_the_server_of_the_lowest_report(
     instances,
 ):
-    """Guards against a herd on one server between two reports."""
+    """Guards against a herd effect on one server between two reports."""
     got = _sends(stale_load.Strategy.SPREAD, instances=instances, age_s=0.25)
     assert max(got.values()) <= 0.6 * instances
     together = _sends(
@@ -86,7 +89,7 @@
     assert max(together.values()) == instances
 
 
-def test_a_fresh_report_is_followed():
+def test_a_fresh_report_is_used_as_it_is():
     got = _sends(stale_load.Strategy.SPREAD, instances=20, age_s=0.001)
     assert got["1"] == 20
 
@@ -94,18 +97,18 @@
 @pytest.mark.parametrize(
     ("works", "chosen", "full"),
     [
-        # The limit after a rest is what a server works on at a time.
+        # The limit after a backoff is the number of slots.
         ((3, 9, 9), "1", False),
         ((4, 9, 9), "2", False),
         ((4, 4, 4), None, True),
     ],
 )
-def test_a_server_that_has_rested_gets_no_more_than_it_works_on(
+def test_after_a_backoff_a_server_gets_no_more_than_its_slots(
     works, chosen, full
 ):
     chooser = server_choice.Chooser(data_centre="a", rng=random.Random(1))
-    resting = _SERVERS if chosen is None else _SERVERS[:1]
-    for server in resting:
+    backing_off = _SERVERS if chosen is None else _SERVERS[:1]
+    for server in backing_off:
         chooser.load_limits.record_backoff(server.server_id, 1.0)
     for server, work in zip(_SERVERS, works, strict=True):
         chooser.stats.record_load_report(server.server_id, work=work, at_s=1.0)
@@ -116,7 +119,7 @@
     assert chosen in (None, choice.server.server_id)
 
 
-def test_a_limit_rises_until_it_binds_no_more():
+def test_a_load_limit_rises_until_it_is_lifted():
     loads = load_limits.LoadLimits()
     loads.record_backoff("1", 0.0)
     limits = [loads.limit("1", _SLOTS, now) for now in (0.0, 30.0, 300.0)]
--- a/irisshelf/tests/test_untrusted_input.py
+++ b/irisshelf/tests/test_untrusted_input.py
@@ -1,11 +1,11 @@
-"""Whatever bytes others write: a value in its range, or the decoder's error.
-
-Entries of the list come from other writers too, and answers from servers of
-any make. Seen by calling the code: a state that has no name was taken for
-ready, one row without a text made the store count as away, an entry that
-became unreadable left its server in use, a deeply nested one ended the
-greenlet that follows the store, and a superscript two in a header ended the
-request.
+"""Untrusted input is decoded to a value in its range or raises a known error.
+
+Entries of the server list come from other writers too, and responses from
+servers of any make. Guards against these faults: a state without a name was
+taken for ready; one row without a text made the store count as unavailable; the
+server of an entry that became unreadable stayed in use; a deeply nested entry
+ended the greenlet that follows the store; and a superscript two in a header
+ended the request.
 """
 
 import base64
@@ -39,7 +39,7 @@
 
 _FAR = position.Position(era=0, revision=10**9)
 
-_GOOD = {
+_VALID = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -49,18 +49,18 @@
     "sequence": 9,
 }
 _DEEP = b'{"more": ' + b"[" * 5000 + b"]" * 5000 + b"}"
-_MOST = 10**15
+_MAX_COUNT = 10**15
 
 
 def _with(**changed):
-    return json.dumps({**_GOOD, **changed}).encode()
+    return json.dumps({**_VALID, **changed}).encode()
 
 
 def _without(name):
-    return json.dumps({k: v for k, v in _GOOD.items() if k != name}).encode()
+    return json.dumps({k: v for k, v in _VALID.items() if k != name}).encode()
 
 
-_UNUSABLE = {
+_INVALID = {
     "no such state": _with(state="sleeping"),
     "state of another type": _with(state=1),
     "slots below one": _with(slots=-4),
@@ -74,7 +74,7 @@
     "half an address": _with(address="10.1:80"),
     "empty service": _with(service=""),
     "service of another type": _with(service=None),
-    **{f"without {n}": _without(n) for n in list(_GOOD)[:5]},
+    **{f"without {n}": _without(n) for n in list(_VALID)[:5]},
     "an empty document": b"",
     "not an object": b"[]",
     "not text": b"\xff\xfe\x00",
@@ -83,20 +83,20 @@
 }
 
 
-@pytest.mark.parametrize("data", _UNUSABLE.values(), ids=_UNUSABLE)
-def test_an_unusable_entry_is_an_error_in_few_words(data):
+@pytest.mark.parametrize("data", _INVALID.values(), ids=_INVALID)
+def test_an_invalid_entry_raises_a_short_error(data):
     with pytest.raises(ValueError) as caught:
         documents.server("server-1", data)
     assert len(str(caught.value)) < 300
 
 
 @pytest.mark.parametrize("key", ["", "two words", "a\r\nb", "ü", "x" * 201])
-def test_a_key_that_is_no_id_names_no_server(key):
+def test_a_key_that_is_not_an_id_is_rejected(key):
     with pytest.raises(ValueError):
         documents.server(key, _with())
 
 
-def test_an_entry_may_hold_more_than_is_named():
+def test_unknown_fields_of_an_entry_are_ignored():
     found = documents.server("server-1", _with(colour="red", parts=[1, {}]))
     assert (found.service, found.slots) == ("s", 8)
 
@@ -126,10 +126,10 @@
     ],
     ids=repr,
 )
-def test_one_bad_row_leaves_the_others_as_they_are(store, value):
-    store.put("servers", "good-1", _GOOD)
+def test_an_invalid_row_does_not_affect_the_others(store, value):
+    store.put("servers", "good-1", _VALID)
     store.put_raw("servers", "bad", value)
-    store.put("servers", "good-2", _GOOD)
+    store.put("servers", "good-2", _VALID)
     reader = store_feed.StoreFeed(address=store.address)
     for read in (
         reader.whole(feed.Table.SERVERS),
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("after_outage", [False, True])
-def test_an_entry_that_becomes_unusable_takes_its_server_out_of_use(
+def test_the_server_of_an_entry_that_becomes_invalid_is_removed(
     world, after_outage
 ):
     if after_outage:
@@ -159,10 +159,10 @@
 
 
 @pytest.mark.parametrize("whole", [False, True])
-def test_an_unusable_entry_has_not_lapsed(world, whole):
-    """An outage gives vanished entries a while to come back; this one is back.
+def test_an_invalid_entry_is_not_treated_as_missing(world, whole):
+    """After an outage, missing entries have some time to return.
 
-    What it names now is no server to use.
+    An invalid entry has returned, so its server is removed at once.
     """
     listed = server_list.ServerList(inst=world.inst)
     server = world.plain[0]
@@ -182,8 +182,8 @@
     assert len(world.inst.directory.servers()) == 3
 
 
-def test_an_entry_of_an_unnamed_service_hides_no_isolation(world):
-    """Nobody tries its server, so that it would always seem in reach."""
+def test_an_entry_of_an_unknown_service_does_not_hide_isolation(world):
+    """Nothing connects to its server, so it never counts as unreachable."""
     foreign = {**world.plain[0].entry(), "service": "not-ours"}
     world.store.put("servers", "foreign", foreign)
     world.wait(lambda: world.inst.directory.get("foreign") is not None)
@@ -195,7 +195,7 @@
     assert not world.inst.ready
 
 
-def test_thousands_of_unusable_entries_are_told_in_one_line(world, monkeypatch):
+def test_many_invalid_entries_are_logged_in_a_few_lines(world, monkeypatch):
     lines = []
     monkeypatch.setattr(
         world.inst.log,
@@ -210,10 +210,10 @@
     good = world.plain[0]
     world.store.put("servers", "one-more", good.entry())
     world.wait(lambda: world.inst.directory.get("one-more") is not None)
-    told = [fields for name, fields in lines if "unreadable" in name]
-    assert sum(fields["count"] for fields in told) == 300
-    assert len(told) <= 3
-    assert all(len(fields["first"]) <= 5 for fields in told)
+    unreadable = [fields for name, fields in lines if "unreadable" in name]
+    assert sum(fields["count"] for fields in unreadable) == 300
+    assert len(unreadable) <= 3
+    assert all(len(fields["first"]) <= 5 for fields in unreadable)
 
 
 def _store_up(world):
@@ -232,14 +232,14 @@
         ("Keep-Alive", "timeout=" + "9" * 5000),
     ],
 )
-def test_a_header_that_says_nothing_does_not_end_the_answer(name, text):
+def test_an_unreadable_header_does_not_end_the_response(name, text):
     headers = ((name.encode(), text.encode("latin-1")),)
     head = http_dialect.HttpDialect().parse_answer(200, headers)
     assert head.report.load is None
     assert head.report.keep_alive_s is None or head.report.keep_alive_s <= 86400
 
 
-_NAMES = strategies.sampled_from(
+_RESPONSE_HEADER_NAMES = strategies.sampled_from(
     [b"Server-Load", b"Keep-Alive", b"Connection", b"Request-Id"]
 )
 _DIGITS = strategies.text("0123456789²٣,= -+.e", max_size=40)
@@ -250,10 +250,12 @@
 
 
 @hypothesis.given(
-    headers=strategies.lists(strategies.tuples(_NAMES, _VALUES), max_size=5)
+    headers=strategies.lists(
+        strategies.tuples(_RESPONSE_HEADER_NAMES, _VALUES), max_size=5
+    )
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
-def test_any_answer_head_is_read(headers):
+def test_any_response_head_is_parsed(headers):
     head = http_dialect.HttpDialect().parse_answer(200, tuple(headers))
     if head.report.keep_alive_s is not None:
         assert 0 <= head.report.keep_alive_s <= 86400
@@ -263,19 +265,21 @@
             head.report.load.waiting,
             head.report.load.slots,
         ):
-            assert 0 <= count <= _MOST
+            assert 0 <= count <= _MAX_COUNT
 
 
-_ASK_NAMES = strategies.sampled_from(
+_REQUEST_HEADER_NAMES = strategies.sampled_from(
     [b"Deadline-Ms", b"Last-Event-Id", b"Prefix-Hash", b"Token-Count"]
 )
 
 
 @hypothesis.given(
-    headers=strategies.lists(strategies.tuples(_ASK_NAMES, _VALUES), max_size=5)
+    headers=strategies.lists(
+        strategies.tuples(_REQUEST_HEADER_NAMES, _VALUES), max_size=5
+    )
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
-def test_any_request_head_is_read_or_refused(headers):
+def test_any_request_head_is_parsed_or_rejected(headers):
     inbound = messages.InboundRequest(
         method="POST",
         target="/x/1",
@@ -284,15 +288,18 @@
         has_body=False,
         arrived_s=0.0,
     )
-    asked = http_dialect.HttpDialect().parse_request(inbound)
-    if asked.is_err():
-        assert "allowed" in asked.err_value
+    parsed = http_dialect.HttpDialect().parse_request(inbound)
+    if parsed.is_err():
+        assert "allowed" in parsed.err_value
         return
-    ask = asked.ok_value
-    assert ask.deadline_s is None or 0 <= ask.deadline_s < math.inf
-    assert ask.last_event_id is None or 0 <= ask.last_event_id <= _MOST
-    assert 0 <= ask.prompt.max_answer_tokens <= _MOST
-    assert all(0 <= part.tokens <= _MOST for part in ask.prompt.parts)
+    request = parsed.ok_value
+    assert request.deadline_s is None or 0 <= request.deadline_s < math.inf
+    assert (
+        request.last_event_id is None
+        or 0 <= request.last_event_id <= _MAX_COUNT
+    )
+    assert 0 <= request.prompt.max_answer_tokens <= _MAX_COUNT
+    assert all(0 <= part.tokens <= _MAX_COUNT for part in request.prompt.parts)
 
 
 @hypothesis.given(data=strategies.binary(max_size=200))
@@ -300,11 +307,11 @@
 def test_any_event_stream_is_split(data):
     splitter = event_stream.Splitter()
     for event in splitter.feed(data):
-        assert event.event_id is None or 0 <= event.event_id <= _MOST
+        assert event.event_id is None or 0 <= event.event_id <= _MAX_COUNT
 
 
 @pytest.mark.parametrize("number", [b"9" * 5000, "²".encode(), b"-1", b""])
-def test_an_event_without_a_number_has_none(number):
+def test_an_event_id_that_is_not_a_number_is_ignored(number):
     data = b"id: " + number + b"\ndata: x\n\n"
     (event,) = event_stream.Splitter().feed(data)
     assert (event.data, event.event_id) == (data, None)
@@ -326,11 +333,11 @@
 
 @hypothesis.given(
     changed=strategies.dictionaries(
-        strategies.sampled_from([*_GOOD, "born"]), _JSON, max_size=4
+        strategies.sampled_from([*_VALID, "born"]), _JSON, max_size=4
     )
 )
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
-def test_any_entry_is_a_server_in_its_ranges_or_an_error(changed):
+def test_any_entry_is_a_valid_server_or_an_error(changed):
     try:
         found = documents.server("server-1", _with(**changed))
     except ValueError as exc:
@@ -341,18 +348,18 @@
     assert found.slots >= 1 and found.service
 
 
-def test_a_deeply_nested_datagram_is_said_once_and_dropped(world):
+def test_a_deeply_nested_datagram_is_dropped(world):
     lines = []
     log = world.inst.log
     log.problem = lambda name, **fields: lines.append(name)
     datagrams = datagrams_module.Datagrams(address="127.0.0.1:0", log=log)
     nested = bytes([0x81]) * 1300 + b"\x00"
     for kind in datagrams_module.Kind:
-        taken = []
-        datagrams.subscribe(kind, taken.append)
+        received = []
+        datagrams.subscribe(kind, received.append)
         datagrams.dispatch(bytes([kind]) + nested)
         datagrams.dispatch(bytes([kind]) + cbor2.dumps([1]))
-        assert len(taken) >= 1
+        assert len(received) >= 1
 
 
 _NUMBERS = strategies.one_of(
@@ -385,20 +392,20 @@
 )
 
 
-class _Takers:
-    """What an instance makes of datagrams, without a socket."""
+class _Receivers:
+    """Receives an instance's datagrams without a socket."""
 
     def __init__(self):
         self.updates = []
         self.loads = []
         self.ends = []
-        self._takers = {}
+        self._handlers = {}
         own = membership.Member(name="1", address="", data_centre="a")
         members = membership.Membership(own=own)
         fact_gossip.FactGossip(
             datagrams=self,
             membership=members,
-            on_fact=self._take_fact,
+            on_fact=self._receive_fact,
             rng=random.Random(1),
         )
         crash_gossip.CrashGossip(
@@ -408,22 +415,22 @@
             datagrams=self, membership=members, log=None
         ).subscribe(self.updates.append)
 
-    def _take_fact(self, fact):
+    def _receive_fact(self, fact):
         if isinstance(fact, facts.ServerLoad):
             self.loads.append(fact)
 
     def subscribe(self, kind, handler):
-        self._takers[kind] = handler
+        self._handlers[kind] = handler
 
     def take(self, kind, content):
         try:
-            self._takers[kind](content)
+            self._handlers[kind](content)
         except ValueError:
             return
         gevent.sleep(0)
 
     def send(self, address, data):
-        """Takes what is passed on."""
+        """Ignores forwarded datagrams."""
 
     def receive_crash(self, content, end):
         self.ends.append(end)
@@ -442,10 +449,10 @@
         (datagrams_module.Kind.CRASHES, [b"c" * 16, None, 0, False]),
     ],
 )
-def test_a_sound_datagram_is_taken(kind, content):
-    takers = _Takers()
-    takers.take(kind, content)
-    assert len([*takers.updates, *takers.loads, *takers.ends]) == 1
+def test_a_valid_datagram_is_accepted(kind, content):
+    receivers = _Receivers()
+    receivers.take(kind, content)
+    assert len([*receivers.updates, *receivers.loads, *receivers.ends]) == 1
 
 
 @hypothesis.given(
@@ -472,16 +479,16 @@
     datagrams_module.Kind.CRASHES, [b"c" * 16, b"12345", 2**60, True]
 )
 @hypothesis.settings(max_examples=400, derandomize=True, deadline=None)
-def test_any_datagram_is_taken_or_dropped(kind, content):
-    """Whatever it says, no age and no load is out of its range."""
-    takers = _Takers()
-    takers.take(kind, content)
-    for update in takers.updates:
+def test_any_datagram_is_accepted_or_dropped(kind, content):
+    """No accepted age or load is out of its range."""
+    receivers = _Receivers()
+    receivers.take(kind, content)
+    for update in receivers.updates:
         assert 0 <= update.store_s < math.inf
         assert 0 <= update.position.revision < 2**63
         assert 0 <= update.position.era < 2**63
-    for news in takers.loads:
-        assert math.isfinite(news.at_s)
-        assert 0 <= news.work < 2**63
+    for load in receivers.loads:
+        assert math.isfinite(load.at_s)
+        assert 0 <= load.work < 2**63
     now = boottime.now()
-    assert all(now - 11 < end.at_s <= now for end in takers.ends)
+    assert all(now - 11 < end.at_s <= now for end in receivers.ends)
