--- a/irisshelf/routing/direct/cold_start.py
+++ b/irisshelf/routing/direct/cold_start.py
@@ -92,8 +92,8 @@
 
     def __init__(self, *, own: str):
         self._own = own
-        self._until_s: dict[str, float] = {}
-        self._next_s: dict[str, float] = {}
+        self._cold_until_s: dict[str, float] = {}
+        self._next_send_s: dict[str, float] = {}
 
     def record_cold_time(
         self, server_id: str, remaining_s: float, now: float
@@ -108,26 +108,26 @@
         if remaining_s <= 0:
             self._remove(server_id)
             return
-        self._start(server_id, now)
-        self._until_s[server_id] = now + remaining_s
+        self._start_cold(server_id, now)
+        self._cold_until_s[server_id] = now + remaining_s
 
     def assume_cold(
         self, server_id: str, remaining_s: float, now: float
     ) -> None:
         """Treats a server as cold although it has not reported that."""
         if remaining_s > 0:
-            self._start(server_id, now)
-            known_s = self._until_s.get(server_id, -math.inf)
-            self._until_s[server_id] = max(known_s, now + remaining_s)
+            self._start_cold(server_id, now)
+            known_s = self._cold_until_s.get(server_id, -math.inf)
+            self._cold_until_s[server_id] = max(known_s, now + remaining_s)
 
     def retain(self, names: frozenset[str]) -> None:
         """Removes servers that are no longer listed."""
-        for name in self._until_s.keys() - names:
+        for name in self._cold_until_s.keys() - names:
             self._remove(name)
 
     def remaining_s(self, server_id: str, now: float) -> float:
         """Returns for how long a server stays cold; 0 if it is not."""
-        return max(0.0, self._until_s.get(server_id, -math.inf) - now)
+        return max(0.0, self._cold_until_s.get(server_id, -math.inf) - now)
 
     def split(
         self, servers: Sequence[directory.BackendServer], now: float
@@ -135,7 +135,7 @@
         Sequence[directory.BackendServer], Sequence[directory.BackendServer]
     ]:
         """Splits servers into warm and cold ones."""
-        if not self._until_s:
+        if not self._cold_until_s:
             return servers, ()
         cold = [s for s in servers if self.remaining_s(s.server_id, now) > 0]
         if not cold:
@@ -167,30 +167,30 @@
         allowed = share(bounds, len(members))
         if self._own not in _ranked(server_id, members)[: allowed.senders]:
             return math.inf
-        return max(0.0, self._next_s.get(server_id, -math.inf) - now)
+        return max(0.0, self._next_send_s.get(server_id, -math.inf) - now)
 
     def record_sent(
         self, server_id: str, bounds: Bounds, members: int, now: float
     ) -> None:
         """Records that this instance sends a request to a cold server."""
         interval_s = share(bounds, members).interval_s
-        self._next_s[server_id] = now + interval_s
+        self._next_send_s[server_id] = now + interval_s
 
-    def _start(self, server_id: str, now: float) -> None:
+    def _start_cold(self, server_id: str, now: float) -> None:
         """Delays the first request to a server that was warm until now.
 
         Requests sent while it was warm may still be on their way.
         """
         if not self.remaining_s(server_id, now):
-            self._next_s[server_id] = now + _MIN_INTERVAL_S
+            self._next_send_s[server_id] = now + _MIN_INTERVAL_S
 
     def _remove_warm(self, now: float) -> None:
-        for name in [n for n, t in self._until_s.items() if t <= now]:
+        for name in [n for n, t in self._cold_until_s.items() if t <= now]:
             self._remove(name)
 
     def _remove(self, server_id: str) -> None:
-        self._until_s.pop(server_id, None)
-        self._next_s.pop(server_id, None)
+        self._cold_until_s.pop(server_id, None)
+        self._next_send_s.pop(server_id, None)
 
 
 @functools.lru_cache(maxsize=4096)
--- a/irisshelf/routing/direct/load_limits.py
+++ b/irisshelf/routing/direct/load_limits.py
@@ -12,9 +12,9 @@
 
 import math
 
-# The limit rises by the number of the server's slots in this time.
+# Time in which the limit rises by the number of the server's slots.
 _RISE_S = 30.0
-# A limit of so many times the number of slots is lifted.
+# A limit is lifted once it reaches this multiple of the number of slots.
 _MAX_MULTIPLE = 10.0
 
 
@@ -37,9 +37,9 @@
             now: Time in seconds.
 
         Example:
-            >>> loads = LoadLimits()
-            >>> loads.record_backoff("s-1", 100.0)
-            >>> loads.limit("s-1", 4, 115.0), loads.limit("s-2", 4, 115.0)
+            >>> limits = LoadLimits()
+            >>> limits.record_backoff("s-1", 100.0)
+            >>> limits.limit("s-1", 4, 115.0), limits.limit("s-2", 4, 115.0)
             (6.0, inf)
         """
         backoff_s = self._backoff_s.get(name)
--- a/irisshelf/routing/direct/server_choice.py
+++ b/irisshelf/routing/direct/server_choice.py
@@ -314,8 +314,8 @@
             strategy=self._policy.unknown_speed,
             now=now,
         )
-        estimates = self._policy.stale_load is stale_load.Strategy.SPREAD
-        unreported = stale_load.estimate_unreported(costs) if estimates else 0.0
+        spreads = self._policy.stale_load is stale_load.Strategy.SPREAD
+        unreported = stale_load.estimate_unreported(costs) if spreads else 0.0
         added = stale_load.spread_unreported(costs, unreported)
         known = {one.name: one.known_requests for one in costs}
         loads = {name: known[name] + added[name] for name in known}
