--- a/irisshelf/tests/test_overload.py
+++ b/irisshelf/tests/test_overload.py
@@ -6,7 +6,7 @@
 each), or one team sends ten times its usual rate. Request kinds, rates, times
 and objectives are a customer's: short chats, long reports on shared files, and
 labels. The required figures are the results of three seeds, rounded down to the
-next five hundredths; each load is also run without admission control.
+next five hundredths; the burst is also run without admission control.
 """
 
 import pytest
@@ -127,11 +127,11 @@
 
 
 def test_retries_of_rejected_callers_are_spread_over_time(burst):
-    delays_s = burst[0].by_kind["chat"].retry_after_s
+    retry_times_s = burst[0].by_kind["chat"].retry_after_s
     # Each instance schedules them in order; those of seven do not coincide.
-    halves = [int(at_s * 2) for at_s in delays_s]
+    halves = [int(at_s * 2) for at_s in retry_times_s]
     fullest = max(halves.count(half) for half in set(halves))
-    assert fullest <= len(delays_s) / 20
+    assert fullest <= len(retry_times_s) / 20
 
 
 @pytest.mark.parametrize("seed", _SEEDS)
