--- a/bench/bundle.py
+++ b/bench/bundle.py
@@ -70,9 +70,9 @@
     key = signing.public_key(private_pem)
     before = _rss_mb()
     bundle = schema.Bundle.model_validate(document(key))
-    sealed, sections = envelope.seal(bundle)
+    sealed, sections = envelope.create(bundle)
     sealed = signing.sign(sealed, name="anna", private_pem=private_pem)
-    changed, changed_sections = envelope.seal(
+    changed, changed_sections = envelope.create(
         schema.Bundle.model_validate(document(key, share=2.0))
     )
     new = [
@@ -81,7 +81,7 @@
         if sealed.manifest.sections.get(name) != digest
     ]
     parts = [envelope.encode(changed), *new]
-    change_bytes = sum(len(canonical.pack(part)) for part in parts)
+    change_bytes = sum(len(canonical.compress(part)) for part in parts)
     open_s = _median(lambda: _open(sealed, sections, key))
     routers = _routers()
     configure_s = _median(lambda: _configure(routers, bundle))
@@ -106,7 +106,7 @@
     sealed: envelope.Envelope, sections: dict[str, bytes], key: str
 ) -> None:
     signing.verify(sealed, keys={"anna": key}, required=1).unwrap()
-    envelope.open_sections(sealed, sections).unwrap()
+    envelope.assemble_bundle(sealed, sections).unwrap()
 
 
 def _routers() -> list[service.ServiceRouter]:
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -90,7 +90,7 @@
             path_prefix="/lezi911/",
             kind=model.RouteKind.SAFE,
             timeout_s=1.0,
-            target_s=0.2,
+            latency_target_s=0.2,
             split=(),
         ),
         service="s",
--- a/irisshelf/bundle/canonical.py
+++ b/irisshelf/bundle/canonical.py
@@ -32,13 +32,13 @@
     ).encode("ascii")
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Compresses bytes for the object store."""
     return zlib.compress(data, level=9)
 
 
-def unpack(data: bytes) -> bytes | None:
-    """Undoes ``pack``.
+def decompress(data: bytes) -> bytes | None:
+    """Undoes ``compress``.
 
     Returns:
         The bytes; None if they are damaged or over ``MAX_OBJECT_BYTES``: a
--- a/irisshelf/bundle/envelope.py
+++ b/irisshelf/bundle/envelope.py
@@ -39,7 +39,7 @@
     signatures: dict[str, str] = {}
 
 
-def seal(bundle: schema.Bundle) -> tuple[Envelope, dict[str, bytes]]:
+def create(bundle: schema.Bundle) -> tuple[Envelope, dict[str, bytes]]:
     """Makes an unsigned envelope and the sections of a bundle."""
     sections = canonical.split(bundle.model_dump(mode="json"))
     digests = {name: canonical.digest(data) for name, data in sections.items()}
@@ -68,7 +68,7 @@
     return SECTION_PREFIX + digest
 
 
-def open_sections(
+def assemble_bundle(
     sealed: Envelope, sections: Mapping[str, bytes]
 ) -> result.Result[schema.Bundle, errors.SchemaError | errors.SignatureError]:
     """Checks sections against a manifest and builds the bundle.
--- a/irisshelf/catalog/directory.py
+++ b/irisshelf/catalog/directory.py
@@ -48,7 +48,7 @@
     """One life of a backend server.
 
     Attributes:
-        server_id: Names this life and no other, see ``life_id``.
+        server_id: Names this life and no other, see ``incarnation_id``.
         service: The service it belongs to.
         address: Such as ``10.0.0.1:8080``; may be used again by another.
         data_centre: Where it stands.
@@ -84,18 +84,20 @@
     server: BackendServer | None
 
 
-def life_id(entry_id: str, born_ms: int | None) -> str:
+def incarnation_id(entry_id: str, born_ms: int | None) -> str:
     """Returns the name of one life of a server.
 
     Example:
-        >>> life_id("i-7f3a", 1786503869131), life_id("i-7f3a", None)
-        ('i-7f3a@1786503869131', 'i-7f3a')
+        >>> incarnation_id("i-7f3a", 1786503869131)
+        'i-7f3a@1786503869131'
+        >>> incarnation_id("i-7f3a", None)
+        'i-7f3a'
     """
     return entry_id if born_ms is None else f"{entry_id}@{born_ms}"
 
 
 @functools.lru_cache(maxsize=8192)
-def key_of(server_id: str) -> bytes:
+def short_id(server_id: str) -> bytes:
     """Returns the short name of a life, as instances tell it each other."""
     return hashlib.blake2b(server_id.encode(), digest_size=_KEY_BYTES).digest()
 
@@ -119,7 +121,7 @@
         """Returns all listed servers."""
         return tuple(self._servers.values())
 
-    def unlapsed(self) -> tuple[BackendServer, ...]:
+    def current_servers(self) -> tuple[BackendServer, ...]:
         """Returns the servers whose entries have not lapsed."""
         return tuple(
             server
@@ -127,7 +129,7 @@
             if name not in self._lapsed
         )
 
-    def of(self, service: str) -> tuple[BackendServer, ...]:
+    def servers_of(self, service: str) -> tuple[BackendServer, ...]:
         """Returns the listed servers of a service, leaving ones as well."""
         return self._by_service.get(service, ())
 
@@ -146,32 +148,32 @@
         self,
         servers: Iterable[BackendServer],
         *,
-        back_s: float,
+        recovered_s: float,
         after_outage: bool,
-        copied: frozenset[str] = frozenset(),
+        restored: frozenset[str] = frozenset(),
     ) -> None:
         """Takes a whole list.
 
         Args:
             servers: All entries.
-            back_s: When the store came back, if it was away.
+            recovered_s: When the store came back, if it was away.
             after_outage: Whether the store may have been away before, so that
                 missing entries may only have lapsed.
-            copied: Entries that tell no more than was known, as the store has
+            restored: Entries that tell no more than was known, as the store has
                 come back from a copy that is older.
         """
         listed = {
             server.entry_id: self._servers.get(server.entry_id, server)
-            if server.entry_id in copied
+            if server.entry_id in restored
             else server
             for server in servers
-            if not (server.entry_id in copied and self._has_left(server))
+            if not (server.entry_id in restored and self._has_left(server))
         }
         missing = [name for name in self._servers if name not in listed]
         for name in missing:
             if after_outage:
                 listed[name] = self._servers[name]
-                self._lapsed.setdefault(name, back_s)
+                self._lapsed.setdefault(name, recovered_s)
             else:
                 self._remember_left(self._servers[name])
         for server in listed.values():
@@ -180,7 +182,9 @@
         self._servers = listed
         self._index()
 
-    def lapse(self, changes: Iterable[Change], *, back_s: float) -> None:
+    def apply_after_outage(
+        self, changes: Iterable[Change], *, recovered_s: float
+    ) -> None:
         """Takes changes told after an outage: vanished entries may be back.
 
         Their time runs from the store's return, whenever they are missed.
@@ -189,7 +193,7 @@
         for change in changes:
             known = change.entry_id in self._servers
             if change.server is None and known:
-                self._lapsed.setdefault(change.entry_id, back_s)
+                self._lapsed.setdefault(change.entry_id, recovered_s)
             else:
                 kept.append(change)
         self.apply(kept)
--- a/irisshelf/catalog/evacuations.py
+++ b/irisshelf/catalog/evacuations.py
@@ -18,7 +18,7 @@
 # Servers of an evacuated data centre may be fetched from for this long: the
 # requests that come meanwhile bring the parts in use to their next servers, and
 # the operators allow more than as long again.
-HAND_ON_S = 2.0
+CACHE_FETCH_GRACE_S = 2.0
 # Operators who have lost rows write them again within seconds.
 _LONGEST_KEPT_S = 30.0
 
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Changed:
+class EvacuationChanges:
     """What an answer or update changed.
 
     Attributes:
@@ -62,16 +62,16 @@
         # Of an earlier era, with when each is lifted if nobody writes it again.
         self._kept_until_s: dict[str, float] = {}
 
-    def now(self) -> frozenset[str]:
+    def active(self) -> frozenset[str]:
         """Returns the evacuated data centres."""
         return self._names
 
-    def serves_parts(self, data_centre: str, now: float) -> bool:
+    def allows_cache_fetch(self, data_centre: str, now: float) -> bool:
         """Tells whether a data centre's servers may still be fetched from."""
         since_s = self._since_s.get(data_centre)
-        return since_s is None or now - since_s < HAND_ON_S
+        return since_s is None or now - since_s < CACHE_FETCH_GRACE_S
 
-    def lasted_s(self, now: float) -> float:
+    def latest_duration_s(self, now: float) -> float:
         """Returns how long the latest evacuation has lasted."""
         return now - max(self._since_s.values(), default=now)
 
@@ -80,7 +80,7 @@
         names: Iterable[str],
         position: position_module.Position,
         now: float,
-    ) -> Changed:
+    ) -> EvacuationChanges:
         """Takes all evacuations as of a position.
 
         Args:
@@ -90,7 +90,7 @@
         """
         known = self._position
         if known is not None and position < known:
-            return Changed()
+            return EvacuationChanges()
         self._position = position
         listed = frozenset(names)
         if known is not None and position.era > known.era:
@@ -101,15 +101,15 @@
             del self._kept_until_s[name]
         return self._set(listed | self._kept_until_s.keys(), now)
 
-    def change(
+    def apply(
         self,
         rows: Iterable[Evacuation],
         position: position_module.Position,
         now: float,
-    ) -> Changed:
+    ) -> EvacuationChanges:
         """Takes rows that were written or removed, in their order."""
         if self._position is not None and position < self._position:
-            return Changed()
+            return EvacuationChanges()
         self._position = position
         names = set(self._since_s)
         for row in rows:
@@ -120,7 +120,7 @@
                 names.discard(row.data_centre)
         return self._set(names, now)
 
-    def operators_wrote(self, now: float) -> None:
+    def record_operator_write(self, now: float) -> None:
         """Takes that the operators have written something in this era.
 
         What else they lost is written again as soon as servers' entries are.
@@ -131,15 +131,15 @@
             for name, kept_s in self._kept_until_s.items()
         }
 
-    def expire(self, now: float) -> Changed:
+    def expire(self, now: float) -> EvacuationChanges:
         """Lifts what an earlier era knew and nobody has written again."""
         over = {n for n, t in self._kept_until_s.items() if now >= t}
         for name in over:
             del self._kept_until_s[name]
         return self._set(self._since_s.keys() - over, now)
 
-    def _set(self, names: Iterable[str], now: float) -> Changed:
+    def _set(self, names: Iterable[str], now: float) -> EvacuationChanges:
         after = frozenset(names)
         before, self._names = self._names, after
         self._since_s = {n: self._since_s.get(n, now) for n in after}
-        return Changed(begun=after - before, lifted=before - after)
+        return EvacuationChanges(begun=after - before, lifted=before - after)
--- a/irisshelf/catalog/freshness.py
+++ b/irisshelf/catalog/freshness.py
@@ -22,7 +22,7 @@
         self._offset_s = -math.inf
         self._as_of_s = -math.inf
 
-    def told(
+    def record_answer(
         self, *, sent_s: float, received_s: float, store_s: float, era: int = 0
     ) -> None:
         """Takes an answer that held all changes up to ``store_s``.
@@ -39,10 +39,10 @@
             self._era = era
             self._offset_s = -math.inf
         self._offset_s = max(self._offset_s, sent_s - store_s)
-        as_of_s = self.time_of(store_s, received_s, era)
+        as_of_s = self.to_local_time(store_s, received_s, era)
         self._as_of_s = max(self._as_of_s, sent_s, as_of_s)
 
-    def clock_s(self, now: float) -> float | None:
+    def estimate_store_clock(self, now: float) -> float | None:
         """Returns a time, surely not too early, of the store's clock now.
 
         None before the first answer.
@@ -51,7 +51,9 @@
             return None
         return now - self._offset_s
 
-    def heard_clock(self, *, sent_s: float, clock_s: float, era: int) -> None:
+    def record_peer_estimate(
+        self, *, sent_s: float, clock_s: float, era: int
+    ) -> None:
         """Takes another instance's ``clock_s``, asked for at a time.
 
         Args:
@@ -66,7 +68,7 @@
             self._offset_s = -math.inf
         self._offset_s = max(self._offset_s, sent_s - clock_s)
 
-    def time_of(self, store_s: float, now: float, era: int = 0) -> float:
+    def to_local_time(self, store_s: float, now: float, era: int = 0) -> float:
         """Returns a time, surely not too late, of a moment of the store's.
 
         Minus infinity before the first answer of an era.
@@ -75,7 +77,7 @@
             return -math.inf
         return min(now, store_s + self._offset_s)
 
-    def confirmed(self, as_of_s: float) -> None:
+    def record_confirmed(self, as_of_s: float) -> None:
         """Takes that all changes up to a time are known."""
         self._as_of_s = max(self._as_of_s, as_of_s)
 
--- a/irisshelf/catalog/model.py
+++ b/irisshelf/catalog/model.py
@@ -53,9 +53,9 @@
     path_prefix: str
     kind: RouteKind
     timeout_s: float
-    target_s: float
+    latency_target_s: float
     split: tuple[Split, ...]
-    target_gap_s: float = 0.0
+    event_gap_target_s: float = 0.0
     priority: int = 5
     max_attempts: int = 1
     public: bool = False
--- a/irisshelf/cli/bundle.py
+++ b/irisshelf/cli/bundle.py
@@ -113,7 +113,7 @@
     signed = files.read_signed(file)
     row, current = remote.read_head(client)
     _check_signers(client, current, signed)
-    sealed, sections = envelope.seal(signed.bundle)
+    sealed, sections = envelope.create(signed.bundle)
     sealed = envelope.Envelope(
         manifest=sealed.manifest, signatures=signed.envelope.signatures
     )
@@ -228,7 +228,7 @@
     }
     objects[envelope.object_key(sealed)] = envelope.encode(sealed)
     for key, data in objects.items():
-        stored = client.put_object(key, canonical.pack(data))
+        stored = client.put_object(key, canonical.compress(data))
         if isinstance(stored, result.Err):
             output.fail(
                 f"cannot store {key}: {stored.err_value.detail}",
@@ -290,7 +290,7 @@
         name: _object(client, envelope.section_key(digest))
         for name, digest in parsed.ok_value.manifest.sections.items()
     }
-    opened = envelope.open_sections(parsed.ok_value, sections)
+    opened = envelope.assemble_bundle(parsed.ok_value, sections)
     if isinstance(opened, result.Err):
         output.fail(
             f"{wanted.object_key}: {opened.err_value}",
@@ -306,7 +306,7 @@
             f"cannot fetch {key}: {json.dumps(str(found.err_value))}",
             code=output.EXIT_UNAVAILABLE,
         )
-    data = canonical.unpack(found.ok_value)
+    data = canonical.decompress(found.ok_value)
     if data is None:
         output.fail(f"{key} is damaged", code=output.EXIT_REFUSED)
     return data
--- a/irisshelf/cli/files.py
+++ b/irisshelf/cli/files.py
@@ -51,7 +51,7 @@
     document = _decode(path, text)
     if isinstance(document, dict) and "envelope" in document:
         signed = _check(path, text, SignedFile)
-        sealed, _ = envelope.seal(signed.bundle)
+        sealed, _ = envelope.create(signed.bundle)
         if sealed.manifest != signed.envelope.manifest:
             output.fail(
                 f"{path}: the bundle was altered after it was signed",
@@ -59,7 +59,7 @@
             )
         return signed
     bundle = _check(path, text, schema.Bundle)
-    sealed, _ = envelope.seal(bundle)
+    sealed, _ = envelope.create(bundle)
     return SignedFile(envelope=sealed, bundle=bundle)
 
 
--- a/irisshelf/coordination/facts.py
+++ b/irisshelf/coordination/facts.py
@@ -1,7 +1,7 @@
 """Facts about backend servers that instances share by gossip.
 
 A fact identifies a server by the short key of its incarnation
-(``directory.key_of``), so that a fact about an earlier incarnation under the
+(``directory.short_id``), so that a fact about an earlier incarnation under the
 same id does not apply to a later one. The exception is ``ServerCold``, which is
 shared precisely because the later incarnation is not known everywhere yet.
 """
--- a/irisshelf/daemon/follower.py
+++ b/irisshelf/daemon/follower.py
@@ -93,10 +93,10 @@
         """Returns an object of the bundle in force, for other instances."""
         wanted = self._head_in_force
         if wanted is not None and key == wanted.object_key:
-            return canonical.pack(self._envelope)
+            return canonical.compress(self._envelope)
         digest = key.removeprefix(envelope.SECTION_PREFIX)
         data = self._sections.get(digest)
-        return None if data is None else canonical.pack(data)
+        return None if data is None else canonical.compress(data)
 
     @property
     def bundle(self) -> schema.Bundle | None:
@@ -152,7 +152,7 @@
         packed = self._object(wanted.object_key)
         if packed is None:
             return None
-        raw = canonical.unpack(packed)
+        raw = canonical.decompress(packed)
         sealed = check.parse(raw or b"", model=envelope.Envelope)
         if isinstance(sealed, result.Err):
             empty = _no_envelope(wanted.number)
@@ -170,7 +170,7 @@
         if digest in self._sections:
             return self._sections[digest]
         packed = self._object(envelope.section_key(digest))
-        return None if packed is None else canonical.unpack(packed) or b""
+        return None if packed is None else canonical.decompress(packed) or b""
 
     def _object(self, key: str) -> bytes | None:
         """Fetches an object from the platform, or else from a peer."""
@@ -197,7 +197,7 @@
         signed = signing.verify(sealed, keys=keys, required=required)
         if isinstance(signed, result.Err):
             return signed
-        return envelope.open_sections(sealed, sections)
+        return envelope.assemble_bundle(sealed, sections)
 
     def _entitled(self) -> tuple[dict[str, str], int]:
         """Keys that both the settings and the bundle in force entitle."""
--- a/irisshelf/gateway/instance.py
+++ b/irisshelf/gateway/instance.py
@@ -207,11 +207,13 @@
         )
         return True
 
-    def evacuations_changed(self, changed: evacuations.Changed) -> None:
+    def evacuations_changed(
+        self, changed: evacuations.EvacuationChanges
+    ) -> None:
         """Applies the start or end of data centre evacuations."""
         if not changed:
             return
-        evacuated = sorted(self.evacuations.now())
+        evacuated = sorted(self.evacuations.active())
         self.metrics.evacuated.set(len(evacuated))
         self.log.instance(
             "evacuations",
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -134,7 +134,7 @@
         wait_s = self._long_poll_s(table, sent_s)
         watch.record_request()
         if after is None:
-            response = self._store.whole(table)
+            response = self._store.snapshot(table)
         else:
             response = self._store.changes(table, after=after, wait_s=wait_s)
         outcome = "ok" if response.is_ok() else "failed"
@@ -157,7 +157,7 @@
     def apply_update(self, update: shared_watch.Update) -> None:
         """Applies an update from the watcher of the data centre."""
         now = boottime.now()
-        as_of_s = self._inst.freshness.time_of(
+        as_of_s = self._inst.freshness.to_local_time(
             update.store_s, now, update.position.era
         )
         verdict = self.tables.apply_update(update, as_of_s, now)
@@ -276,7 +276,7 @@
             return
         # A snapshot may repeat the configuration in force, which is no change
         # after which to coalesce.
-        snapshot = batch.whole and table is feed.Table.CATALOG
+        snapshot = batch.is_snapshot and table is feed.Table.CATALOG
         if batch.items and not (snapshot and self._inst.catalog is before):
             self.change_counts[table] += 1
         if newest and self._role() is shared_watch.Role.WATCHER:
--- a/irisshelf/gateway/knowledge/operator_state.py
+++ b/irisshelf/gateway/knowledge/operator_state.py
@@ -71,7 +71,7 @@
         """
         catalog = self._inst.catalog
         replaced = False
-        if batch.whole:
+        if batch.is_snapshot:
             self.stored_version = None
         rows = []
         for item in batch.items:
@@ -110,7 +110,7 @@
             store_s=batch.store_s,
             version=self.stored_version,
             position=batch.position,
-            evacuated=self._inst.evacuations.now(),
+            evacuated=self._inst.evacuations.active(),
             digest=self._digest(self.stored_version),
         )
 
@@ -122,7 +122,7 @@
             return b""
         return self.stored_catalog.digest
 
-    def _keep_stored(self, item: feed.Item) -> None:
+    def _keep_stored(self, item: feed.DecodedRow) -> None:
         version = item.value.version
         if item.raw and self._inst.catalog.version == version:
             self.stored_catalog = StoredCatalog(
@@ -137,13 +137,13 @@
     ) -> None:
         known = [row for row in rows if self._has_known_data_centre(row)]
         state = self._inst.evacuations
-        if batch.whole:
+        if batch.is_snapshot:
             names = [row.data_centre for row in known if row.in_force]
             changed = state.replace(names, batch.position, now)
         else:
             if batch.items:
-                state.operators_wrote(now)
-            changed = state.change(known, batch.position, now)
+                state.record_operator_write(now)
+            changed = state.apply(known, batch.position, now)
         self._inst.evacuations_changed(changed)
 
     def _has_known_data_centre(self, row: evacuations.Evacuation) -> bool:
@@ -157,7 +157,7 @@
         )
         return False
 
-    def _log_unreadable(self, item: feed.Item) -> None:
+    def _log_unreadable(self, item: feed.DecodedRow) -> None:
         catalog = self._inst.catalog
         self._inst.log.problem(
             "catalog_unreadable",
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -56,7 +56,7 @@
             self._inst.directory.apply(map(_change, unreadable))
         changes = tuple(map(_change, batch.items))
         self._inst.servers.publish_cold(changes)
-        if batch.whole:
+        if batch.is_snapshot:
             restored = self._restored(batch, now)
             self._replace(changes, batch.position, now, restored)
         else:
@@ -70,7 +70,9 @@
     ) -> None:
         """Applies changes that follow the known position."""
         if self._after_outage(now):
-            self._inst.directory.lapse(changes, back_s=self._recovery_s(now))
+            self._inst.directory.apply_after_outage(
+                changes, recovered_s=self._recovery_s(now)
+            )
         else:
             self._inst.directory.apply(changes)
         self._position = position
@@ -107,9 +109,9 @@
         self._position = position
         self._inst.directory.replace(
             [entry.server for entry in entries if entry.server],
-            back_s=self._recovery_s(now),
+            recovered_s=self._recovery_s(now),
             after_outage=self._after_outage(now),
-            copied=restored,
+            restored=restored,
         )
         self._changes.reset(position)
         self._inst.server_list_loaded()
@@ -141,7 +143,7 @@
         self._reread_due_s = math.inf
         return True
 
-    def _log_unreadable(self, items: list[feed.Item]) -> None:
+    def _log_unreadable(self, items: list[feed.DecodedRow]) -> None:
         logged = items[:_MAX_LOGGED_PROBLEMS]
         self._inst.log.problem(
             "server_entries_unreadable",
@@ -182,7 +184,7 @@
         )
 
 
-def _change(item: feed.Item) -> directory.Change:
+def _change(item: feed.DecodedRow) -> directory.Change:
     return directory.Change(entry_id=item.key, server=item.value)
 
 
--- a/irisshelf/gateway/knowledge/server_records.py
+++ b/irisshelf/gateway/knowledge/server_records.py
@@ -49,7 +49,7 @@
     if record.state is None:
         return directory.Change(entry_id=record.entry_id, server=None)
     server = directory.BackendServer(
-        server_id=directory.life_id(record.entry_id, record.born_ms),
+        server_id=directory.incarnation_id(record.entry_id, record.born_ms),
         entry_id=record.entry_id,
         born_ms=record.born_ms,
         service=record.service,
--- a/irisshelf/gateway/knowledge/table_relay.py
+++ b/irisshelf/gateway/knowledge/table_relay.py
@@ -59,7 +59,7 @@
         peers: peer_discovery.PeerDiscovery,
         operators: operator_state.OperatorState,
         as_of: Callable[[feed.Table], table_snapshot.AsOf | None],
-        decode: Callable[[bytes], feed.Item],
+        decode: Callable[[bytes], feed.DecodedRow],
     ):
         self._inst = inst
         self._peers = peers
@@ -160,7 +160,7 @@
         self, table: feed.Table, minimum: table_snapshot.MinimumVersion
     ) -> bool:
         known = self._as_of(table)
-        clock_s = self._inst.freshness.clock_s(boottime.now())
+        clock_s = self._inst.freshness.estimate_store_clock(boottime.now())
         if (
             known is None
             or clock_s is None
@@ -181,17 +181,17 @@
             era=known.position.era,
             revision=known.position.revision,
             store_s=known.store_s,
-            clock_s=self._inst.freshness.clock_s(now),
+            clock_s=self._inst.freshness.estimate_store_clock(now),
         )
         if table is feed.Table.CATALOG:
             message.catalog = self._compressed_catalog()
-            message.evacuated = sorted(self._inst.evacuations.now())
+            message.evacuated = sorted(self._inst.evacuations.active())
         else:
             message.servers = [
                 server_records.to_record(
                     self._with_remaining_cold_time(server, now)
                 )
-                for server in self._inst.directory.unlapsed()
+                for server in self._inst.directory.current_servers()
             ]
         return table_snapshot.encode(message)
 
@@ -252,12 +252,12 @@
                 era=message.era, revision=message.revision
             ),
             store_s=message.store_s,
-            whole=True,
+            is_snapshot=True,
         )
 
     def _catalog_item(
         self, raw: bytes, minimum: table_snapshot.MinimumVersion | None
-    ) -> feed.Item:
+    ) -> feed.DecodedRow:
         """Decodes a configuration and checks its digest.
 
         Raises:
@@ -315,11 +315,11 @@
     )
 
 
-def _server_item(record: server_records.ServerRecord) -> feed.Item:
+def _server_item(record: server_records.ServerRecord) -> feed.DecodedRow:
     change = server_records.to_change(record)
-    return feed.Item(key=change.entry_id, value=change.server)
+    return feed.DecodedRow(key=change.entry_id, value=change.server)
 
 
-def _evacuation_item(data_centre: str) -> feed.Item:
+def _evacuation_item(data_centre: str) -> feed.DecodedRow:
     value = evacuations.Evacuation(data_centre=data_centre, in_force=True)
-    return feed.Item(key=data_centre, value=value)
+    return feed.DecodedRow(key=data_centre, value=value)
--- a/irisshelf/gateway/knowledge/tables.py
+++ b/irisshelf/gateway/knowledge/tables.py
@@ -76,7 +76,7 @@
             Whether the response is the latest known state.
         """
         newest = self.watches[table].record_response(
-            batch.position, now, whole=batch.whole
+            batch.position, now, whole=batch.is_snapshot
         )
         if not newest:
             return False
@@ -104,10 +104,10 @@
         batch = snapshot.batch
         freshness = self._inst.freshness
         era = batch.position.era
-        freshness.heard_clock(
+        freshness.record_peer_estimate(
             sent_s=snapshot.sent_s, clock_s=snapshot.clock_s, era=era
         )
-        as_of_s = freshness.time_of(batch.store_s, now, era)
+        as_of_s = freshness.to_local_time(batch.store_s, now, era)
         if not self.watches[table].record_relayed_table(
             batch.position, as_of_s
         ):
@@ -117,7 +117,7 @@
         else:
             self.operators.apply_batch(batch, now)
             if not self.operators.store_is_behind:
-                freshness.confirmed(as_of_s)
+                freshness.record_confirmed(as_of_s)
                 self.watches[_CATALOG].record_caught_up(as_of_s)
         self._record_version(table, batch.position, batch.store_s)
         return True
@@ -154,7 +154,7 @@
             )
         if verdict is _Verdict.CURRENT:
             if not self.operators.store_is_behind:
-                self._inst.freshness.confirmed(as_of_s)
+                self._inst.freshness.record_confirmed(as_of_s)
             watch.advance_to(update.position)
             self._record_version(_CATALOG, update.position, update.store_s)
         return verdict
@@ -206,14 +206,16 @@
             )
             return
         freshness = self._inst.freshness
-        freshness.told(
+        freshness.record_answer(
             sent_s=sent_s, received_s=now, store_s=batch.store_s, era=era
         )
         # The transfer time of a new configuration counts as lag, which may make
         # the next poll read the latest version instead of all changes. One that
         # was already known need not be transferred, so its time does not count.
         as_of_s = (
-            freshness.time_of(batch.store_s, now, era) if replaced else now
+            freshness.to_local_time(batch.store_s, now, era)
+            if replaced
+            else now
         )
         self.watches[_CATALOG].record_caught_up(as_of_s)
 
--- a/irisshelf/gateway/requests/admission.py
+++ b/irisshelf/gateway/requests/admission.py
@@ -34,7 +34,7 @@
     arrival = overload.Arrival(
         priority=job.priority,
         team=job.team,
-        objective_s=job.route.target_s,
+        objective_s=job.route.latency_target_s,
         remaining_s=job.deadline_s - now,
     )
     wait_s = control.estimated_wait_s(choice.load, choice.server.slots)
--- a/irisshelf/gateway/requests/request_handler.py
+++ b/irisshelf/gateway/requests/request_handler.py
@@ -128,11 +128,11 @@
         remaining_s = max(0.001, self._remaining_s())
         route = self._job.route
         if route.kind is model.RouteKind.SAFE:
-            timeout_s = route.target_s * _SAFE_TIMEOUT_FACTOR
+            timeout_s = route.latency_target_s * _SAFE_TIMEOUT_FACTOR
         elif first:
-            timeout_s = route.target_s * _FIRST_EVENT_TIMEOUT_FACTOR
+            timeout_s = route.latency_target_s * _FIRST_EVENT_TIMEOUT_FACTOR
         else:
-            timeout_s = route.target_gap_s * _EVENT_GAP_TIMEOUT_FACTOR
+            timeout_s = route.event_gap_target_s * _EVENT_GAP_TIMEOUT_FACTOR
         return min(remaining_s, max(_MIN_RESPONSE_TIMEOUT_S, timeout_s))
 
     def _handle_failure(
--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -130,7 +130,7 @@
             _fingerprint(job),
             candidates,
             crashed={
-                name for name in candidates if directory.key_of(name) in keys
+                name for name in candidates if directory.short_id(name) in keys
             },
             recently_gone=exited,
             crash_count=len(verdict.crashes),
@@ -149,7 +149,7 @@
         if not self.has_exited(server) or _request_key(job) in self._succeeded:
             return False
         crash = crash_suspects.ServerCrash(
-            server_key=directory.key_of(server.server_id), at_s=self._now()
+            server_key=directory.short_id(server.server_id), at_s=self._now()
         )
         fingerprint = _fingerprint(job)
         if self._apply_crash(
--- a/irisshelf/gateway/servers/eligibility.py
+++ b/irisshelf/gateway/servers/eligibility.py
@@ -69,7 +69,7 @@
             service: The service.
             regions: Where the request may be served; None for anywhere.
         """
-        servers = self._not_evacuated(self._listed.of(service))
+        servers = self._not_evacuated(self._listed.servers_of(service))
         return self._in_regions(servers, regions)
 
     def accepting(
@@ -123,10 +123,10 @@
 
     def evacuated(self, service: str) -> tuple[directory.BackendServer, ...]:
         """Returns the listed servers of a service in evacuated data centres."""
-        evacuated = self._evacuations.now()
+        evacuated = self._evacuations.active()
         if not evacuated:
             return ()
-        listed = self._listed.of(service)
+        listed = self._listed.servers_of(service)
         return tuple(s for s in listed if s.data_centre in evacuated)
 
     def sources(
@@ -138,13 +138,13 @@
             service: The service.
             regions: Where the prompt may be processed; None for anywhere.
         """
-        servers = self._listed.of(service)
-        if self._evacuations.now():
+        servers = self._listed.servers_of(service)
+        if self._evacuations.active():
             now = self._now()
             servers = tuple(
                 server
                 for server in servers
-                if self._evacuations.serves_parts(server.data_centre, now)
+                if self._evacuations.allows_cache_fetch(server.data_centre, now)
             )
         return self._in_regions(servers, regions)
 
@@ -153,9 +153,9 @@
 
         None if evacuations are not the reason.
         """
-        if self.usable(service) or not self._listed.of(service):
+        if self.usable(service) or not self._listed.servers_of(service):
             return None
-        return self._evacuations.lasted_s(self._now())
+        return self._evacuations.latest_duration_s(self._now())
 
     def probeable(self) -> tuple[directory.BackendServer, ...]:
         """Returns the servers that may be probed."""
@@ -260,7 +260,7 @@
     def _not_evacuated(
         self, servers: tuple[directory.BackendServer, ...]
     ) -> tuple[directory.BackendServer, ...]:
-        evacuated = self._evacuations.now()
+        evacuated = self._evacuations.active()
         if not evacuated:
             return servers
         return tuple(s for s in servers if s.data_centre not in evacuated)
--- a/irisshelf/gateway/servers/server_reports.py
+++ b/irisshelf/gateway/servers/server_reports.py
@@ -112,7 +112,7 @@
     def _publish_pause(
         self, server: directory.BackendServer, remaining_s: float
     ) -> None:
-        key = directory.key_of(server.server_id)
+        key = directory.short_id(server.server_id)
         until_s = self._now() + remaining_s
         self._publish(facts.ServerPause(server=key, until_s=until_s))
 
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -152,7 +152,7 @@
         work = load.running + load.waiting
         stats = self.chooser(server.service).stats
         stats.record_load_report(server.server_id, work=work, at_s=now)
-        key = directory.key_of(server.server_id)
+        key = directory.short_id(server.server_id)
         self.publish(facts.ServerLoad(server=key, work=work, at_s=now))
 
     def record_sent_prompt(
@@ -161,7 +161,7 @@
         """Records the prompt parts that a server now caches; publishes them."""
         chooser = self.chooser(server.service)
         new_parts = chooser.record_sent(sent, server.server_id, self._now())
-        key = directory.key_of(server.server_id)
+        key = directory.short_id(server.server_id)
         for part in new_parts:
             self.publish(facts.PartCached(server=key, part=part))
 
@@ -211,7 +211,7 @@
         now = self._now()
         for change in changes:
             if change.server is not None and change.server.cold_s:
-                key = directory.key_of(change.entry_id)
+                key = directory.short_id(change.entry_id)
                 until_s = now + change.server.cold_s
                 self.publish(facts.ServerCold(server=key, until_s=until_s))
 
@@ -221,10 +221,10 @@
         names = frozenset(server.server_id for server in servers)
         before = self._by_key
         self._by_key = {
-            directory.key_of(server.server_id): server for server in servers
+            directory.short_id(server.server_id): server for server in servers
         }
         self._entry_ids = {
-            directory.key_of(server.entry_id): server.entry_id
+            directory.short_id(server.entry_id): server.entry_id
             for server in servers
         }
         self._note_delisted(before.keys() - self._by_key.keys())
--- a/irisshelf/platform/documents.py
+++ b/irisshelf/platform/documents.py
@@ -174,7 +174,7 @@
     if not _is_address(doc.address):
         raise _not_allowed("address", doc.address, "IP number:port")
     return directory.BackendServer(
-        server_id=directory.life_id(entry_id, doc.born),
+        server_id=directory.incarnation_id(entry_id, doc.born),
         entry_id=entry_id,
         born_ms=doc.born,
         service=doc.service,
@@ -217,8 +217,8 @@
         path_prefix=doc.path_prefix,
         kind=doc.kind,
         timeout_s=doc.timeout_ms / _MS,
-        target_s=doc.target_latency_ms / _MS,
-        target_gap_s=doc.gap_target_ms / _MS,
+        latency_target_s=doc.target_latency_ms / _MS,
+        event_gap_target_s=doc.gap_target_ms / _MS,
         priority=doc.priority,
         split=tuple(split),
         max_attempts=doc.max_attempts,
--- a/irisshelf/platform/store_feed.py
+++ b/irisshelf/platform/store_feed.py
@@ -141,10 +141,10 @@
         self._begun: dict[feed.Table, _Pages] = {}
         self.calls = 0
 
-    def whole(
+    def snapshot(
         self, table: feed.Table
     ) -> result.Result[feed.Batch, feed.Unavailable]:
-        """See ``feed.Feed.whole``.
+        """See ``feed.Feed.snapshot``.
 
         Pages are read at different moments, so that changes have to be asked
         for since the first one. A call that fails loses none of them: the next
@@ -193,7 +193,7 @@
         rows = read.ok_value.answer.rows
         return result.Ok(_batch(table, read.ok_value, rows, whole=False))
 
-    def decode(self, raw: bytes) -> feed.Item:
+    def decode(self, raw: bytes) -> feed.DecodedRow:
         """See ``feed.Feed.decode``."""
         return _catalog_item(raw)
 
@@ -303,7 +303,7 @@
             era=read.era, revision=read.answer.ver
         ),
         store_s=read.answer.now_ms / _MS,
-        whole=whole,
+        is_snapshot=whole,
         complete=whole or _is_complete(read),
         size_bytes=read.size_bytes,
         transfer_s=read.transfer_s,
@@ -334,21 +334,21 @@
     return key.removeprefix(_EVACUATION_PREFIX)
 
 
-def _catalog_item(raw: bytes) -> feed.Item:
+def _catalog_item(raw: bytes) -> feed.DecodedRow:
     try:
         value = documents.catalog(raw)
     except ValueError as exc:
-        return feed.Item(key=_CATALOG_KEY, value=None, problem=str(exc))
-    return feed.Item(key=_CATALOG_KEY, value=value, raw=raw)
+        return feed.DecodedRow(key=_CATALOG_KEY, value=None, problem=str(exc))
+    return feed.DecodedRow(key=_CATALOG_KEY, value=value, raw=raw)
 
 
-def _item(table: feed.Table, row: _Row) -> feed.Item:
+def _item(table: feed.Table, row: _Row) -> feed.DecodedRow:
     evacuated = _evacuated(row.key) if table is feed.Table.CATALOG else None
     if row.deleted and evacuated is not None:
         lifted = evacuations.Evacuation(data_centre=evacuated, in_force=False)
-        return feed.Item(key=row.key, value=lifted)
+        return feed.DecodedRow(key=row.key, value=lifted)
     if row.deleted:
-        return feed.Item(key=row.key, value=None)
+        return feed.DecodedRow(key=row.key, value=None)
     try:
         data = _content(row.value)
         if table is feed.Table.SERVERS:
@@ -358,5 +358,5 @@
         else:
             return _catalog_item(data)
     except ValueError as exc:
-        return feed.Item(key=row.key, value=None, problem=str(exc))
-    return feed.Item(key=row.key, value=value, revision=row.ver)
+        return feed.DecodedRow(key=row.key, value=None, problem=str(exc))
+    return feed.DecodedRow(key=row.key, value=value, revision=row.ver)
--- a/irisshelf/store/feed.py
+++ b/irisshelf/store/feed.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Item(Generic[_T]):
+class DecodedRow(Generic[_T]):
     """A row: its decoded content, or None if it is gone or unreadable.
 
     Attributes:
@@ -67,10 +67,10 @@
         transfer_s: From its first byte to its last one, in seconds.
     """
 
-    items: tuple[Item[_T], ...]
+    items: tuple[DecodedRow[_T], ...]
     position: position_module.Position
     store_s: float
-    whole: bool
+    is_snapshot: bool
     complete: bool = True
     size_bytes: int = 0
     transfer_s: float = 0.0
@@ -98,7 +98,7 @@
     """Follows tables of the shared store."""
 
     @abc.abstractmethod
-    def whole(self, table: Table) -> result.Result[Batch, Unavailable]:
+    def snapshot(self, table: Table) -> result.Result[Batch, Unavailable]:
         """Reads a whole table as of one moment."""
 
     @abc.abstractmethod
@@ -118,7 +118,7 @@
         """
 
     @abc.abstractmethod
-    def decode(self, raw: bytes) -> Item:
+    def decode(self, raw: bytes) -> DecodedRow:
         """Decodes a configuration that another instance has relayed."""
 
     @abc.abstractmethod
--- a/irisshelf/tests/test_bundle.py
+++ b/irisshelf/tests/test_bundle.py
@@ -78,22 +78,22 @@
 
 def test_sections_join_to_the_same_bundle():
     bundle = examples.bundle(number=7)
-    sealed, sections = envelope.seal(bundle)
-    assert envelope.open_sections(sealed, sections).unwrap() == bundle
+    sealed, sections = envelope.create(bundle)
+    assert envelope.assemble_bundle(sealed, sections).unwrap() == bundle
 
 
 @pytest.mark.parametrize(
     ("packed", "found"),
     [
-        (canonical.pack(b"x" * 1000), b"x" * 1000),
-        (canonical.pack(b""), b""),
-        (canonical.pack(b"x" * 1000)[:-1], None),
+        (canonical.compress(b"x" * 1000), b"x" * 1000),
+        (canonical.compress(b""), b""),
+        (canonical.compress(b"x" * 1000)[:-1], None),
         (b"nonsense", None),
-        (canonical.pack(b"x" * (canonical.MAX_OBJECT_BYTES + 1)), None),
+        (canonical.compress(b"x" * (canonical.MAX_OBJECT_BYTES + 1)), None),
     ],
 )
 def test_objects_are_unpacked_whole_or_not_at_all(packed, found):
-    assert canonical.unpack(packed) == found
+    assert canonical.decompress(packed) == found
 
 
 def test_a_small_change_changes_few_sections():
@@ -119,7 +119,7 @@
     ],
 )
 def test_enough_entitled_people_must_sign(signers, required, valid):
-    sealed, _ = envelope.seal(examples.bundle(number=1))
+    sealed, _ = envelope.create(examples.bundle(number=1))
     for name in signers:
         sealed = signing.sign(
             sealed, name=name, private_pem=examples.private_pem(name)
@@ -130,7 +130,7 @@
 
 
 def test_one_key_under_two_names_counts_once():
-    sealed, _ = envelope.seal(examples.bundle(number=1))
+    sealed, _ = envelope.create(examples.bundle(number=1))
     pem = examples.private_pem("anna")
     for name in ("anna", "bo"):
         sealed = signing.sign(sealed, name=name, private_pem=pem)
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("what", ["number", "section", "missing"])
 def test_an_altered_bundle_is_refused(what):
-    sealed, sections = envelope.seal(examples.bundle(number=1))
+    sealed, sections = envelope.create(examples.bundle(number=1))
     sealed = signing.sign(
         sealed, name="anna", private_pem=examples.private_pem("anna")
     )
@@ -156,4 +156,4 @@
     sections["root"] = canonical.encode(root)
     if what == "missing":
         del sections["root"]
-    assert envelope.open_sections(sealed, sections).is_err()
+    assert envelope.assemble_bundle(sealed, sections).is_err()
--- a/irisshelf/tests/test_catalog.py
+++ b/irisshelf/tests/test_catalog.py
@@ -84,7 +84,11 @@
 
 def test_times_are_in_seconds():
     (route,) = _catalog("/a/").routes
-    assert (route.timeout_s, route.target_s, route.target_gap_s) == (
+    assert (
+        route.timeout_s,
+        route.latency_target_s,
+        route.event_gap_target_s,
+    ) == (
         2.0,
         0.2,
         0.1,
@@ -105,12 +109,12 @@
 def _listed(names):
     found = directory.Directory()
     servers = [_server(name) for name in names]
-    found.replace(servers, back_s=0.0, after_outage=False)
+    found.replace(servers, recovered_s=0.0, after_outage=False)
     return found
 
 
 def _names(found):
-    return [server.server_id for server in found.of("s")]
+    return [server.server_id for server in found.servers_of("s")]
 
 
 def _gone(name):
@@ -137,16 +141,16 @@
 ):
     found = _listed(["a", "b"])
     if whole:
-        found.replace([_server("b")], back_s=1.0, after_outage=True)
+        found.replace([_server("b")], recovered_s=1.0, after_outage=True)
     else:
-        found.lapse([_gone("a")], back_s=1.0)
+        found.apply_after_outage([_gone("a")], recovered_s=1.0)
     found.expire(now)
     assert _names(found) == left
 
 
 def test_an_entry_that_comes_back_stays():
     found = _listed(["a", "b"])
-    found.lapse([_gone("a")], back_s=1.0)
+    found.apply_after_outage([_gone("a")], recovered_s=1.0)
     found.apply([directory.Change(entry_id="a", server=_server("a"))])
     assert found.expire(9.0) == ()
     assert _names(found) == ["a", "b"]
@@ -154,8 +158,8 @@
 
 def test_a_second_outage_does_not_extend_a_lapse():
     found = _listed(["a", "b"])
-    found.replace([_server("b")], back_s=1.0, after_outage=True)
-    found.replace([_server("b")], back_s=3.0, after_outage=True)
+    found.replace([_server("b")], recovered_s=1.0, after_outage=True)
+    found.replace([_server("b")], recovered_s=3.0, after_outage=True)
     assert found.expire(3.3) == ("a",)
 
 
@@ -178,7 +182,9 @@
 def test_age_is_never_understated(answers, now, age_s):
     fresh = freshness.Freshness()
     for sent_s, received_s, store_s in answers:
-        fresh.told(sent_s=sent_s, received_s=received_s, store_s=store_s)
+        fresh.record_answer(
+            sent_s=sent_s, received_s=received_s, store_s=store_s
+        )
     assert fresh.age_s(now) == pytest.approx(age_s)
 
 
--- a/irisshelf/tests/test_catalog_catch_up.py
+++ b/irisshelf/tests/test_catalog_catch_up.py
@@ -133,7 +133,7 @@
     def decode(self, raw):
         raise NotImplementedError("no data is relayed in this simulation")
 
-    def whole(self, table):
+    def snapshot(self, table):
         if self.is_unavailable():
             return self._unavailable()
         return self._respond(table, [self.version], self.version, whole=True)
@@ -166,14 +166,14 @@
         transfer_s = size_bytes / _LINK_BYTES_S
         self._clock.sleep(0.004 + transfer_s)
         items = tuple(
-            feed.Item(key="config", value=_catalog(v)) for v in versions
+            feed.DecodedRow(key="config", value=_catalog(v)) for v in versions
         )
         return result.Ok(
             feed.Batch(
                 items=items,
                 position=_at(revision),
                 store_s=store_s,
-                whole=whole,
+                is_snapshot=whole,
                 complete=whole or size_bytes < _COMPLETE_BELOW_BYTES,
                 size_bytes=size_bytes,
                 transfer_s=transfer_s,
--- a/irisshelf/tests/test_cold_start.py
+++ b/irisshelf/tests/test_cold_start.py
@@ -314,9 +314,9 @@
     world.store.put("op", "config", document)
     world.wait(lambda: world.inst.catalog.version == 2)
     world.store.put("op", "evacuate/a", {})
-    world.wait(lambda: world.inst.evacuations.now() == {"a"})
+    world.wait(lambda: world.inst.evacuations.active() == {"a"})
     world.store.drop("op", "evacuate/a")
-    world.wait(lambda: not world.inst.evacuations.now())
+    world.wait(lambda: not world.inst.evacuations.active())
     cold = world.inst.eligible.cold
     for one in world.inst.directory.servers():
         remaining_s = cold.remaining_s(one.server_id, world.inst.now())
@@ -355,7 +355,7 @@
     world.wait(
         lambda: all(
             s.cold_s
-            for s in world.inst.directory.of("crew")
+            for s in world.inst.directory.servers_of("crew")
             if s.state is directory.ServerState.READY
         )
     )
@@ -376,7 +376,7 @@
         )
     listed = cold_world.inst.directory.get(one.server_id)
     fact = facts.ServerCold(
-        server=directory.key_of(one.server_id),
+        server=directory.short_id(one.server_id),
         until_s=cold_world.inst.now() + 2.0,
     )
     cold_world.inst.servers.apply_fact(fact)
@@ -392,5 +392,5 @@
     cold_facts = [
         fact for fact in published if isinstance(fact, facts.ServerCold)
     ]
-    key = directory.key_of(cold_world.plain[0].server_id)
+    key = directory.short_id(cold_world.plain[0].server_id)
     assert {fact.server for fact in cold_facts} == {key}
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -127,10 +127,10 @@
     fleet.wait(
         lambda: all(
             server.state.value == "leaving"
-            for server in fleet.inst.directory.of("crew")
+            for server in fleet.inst.directory.servers_of("crew")
         )
     )
-    server = fleet.inst.directory.of("crew")[0]
+    server = fleet.inst.directory.servers_of("crew")[0]
     fleet.plain[0].close()
     assert not fleet.inst.crashes.has_exited(server)
 
@@ -164,7 +164,7 @@
         one.close()
     for one in fleet.plain[:5]:
         crash = crash_suspects.ServerCrash(
-            server_key=directory.key_of(one.server_id),
+            server_key=directory.short_id(one.server_id),
             at_s=boottime.now(),
         )
         fleet.inst.crashes.receive_crash(_FINGERPRINT, crash)
@@ -180,9 +180,9 @@
 def test_a_crash_of_a_server_that_has_left_the_list_counts(fleet):
     gone = fleet.plain[0]
     fleet.store.drop("servers", gone.server_id)
-    fleet.wait(lambda: len(fleet.inst.directory.of("crew")) == 7)
+    fleet.wait(lambda: len(fleet.inst.directory.servers_of("crew")) == 7)
     crash = crash_suspects.ServerCrash(
-        server_key=directory.key_of(gone.server_id), at_s=boottime.now()
+        server_key=directory.short_id(gone.server_id), at_s=boottime.now()
     )
     fleet.inst.crashes.receive_crash(_FINGERPRINT, crash)
     assert _stages(fleet)[0] == "suspect"
--- a/irisshelf/tests/test_evacuation.py
+++ b/irisshelf/tests/test_evacuation.py
@@ -41,12 +41,12 @@
 def _evacuate(world, *names):
     for name in names:
         world.store.put("op", f"evacuate/{name}", {})
-    world.wait(lambda: world.inst.evacuations.now() >= set(names))
+    world.wait(lambda: world.inst.evacuations.active() >= set(names))
 
 
 def _lift(world, name):
     world.store.drop("op", f"evacuate/{name}")
-    world.wait(lambda: name not in world.inst.evacuations.now())
+    world.wait(lambda: name not in world.inst.evacuations.active())
 
 
 def _ran(servers):
@@ -126,7 +126,7 @@
         if backend.runs and backend != holder
     )
     assert taker.runs[-1].headers["kv-fetch"] == holder.address
-    monkeypatch.setattr(evacuations, "HAND_ON_S", 0.0)
+    monkeypatch.setattr(evacuations, "CACHE_FETCH_GRACE_S", 0.0)
     assert world.ask("/digest/1", Prefix_Hash="cc:2500,own:9").status == 200
     sources = [
         run.headers.get("kv-fetch")
@@ -155,7 +155,7 @@
     world.store.put_raw("op", key, value)
     world.store.put("op", "config", world_module.config(2))
     world.wait(lambda: world.inst.catalog.version == 2)
-    assert not world.inst.evacuations.now()
+    assert not world.inst.evacuations.active()
     assert problems
 
 
@@ -183,7 +183,7 @@
     gevent.sleep(0.8)
     world.store.mode = store.Mode.WELL
     gevent.sleep(5.0 * 2 / 3 - 0.8)
-    assert world.inst.evacuations.now() == {"a"}
+    assert world.inst.evacuations.active() == {"a"}
 
 
 def test_evacuation_is_known_if_the_response_is_lost(make_world):
@@ -195,7 +195,7 @@
     gevent.sleep(0.3)
     world.store.mode = store.Mode.WELL
     gevent.sleep(5.0 * 2 / 3 - 0.3)
-    assert world.inst.evacuations.now() == {"a"}
+    assert world.inst.evacuations.active() == {"a"}
 
 
 def test_lifted_evacuation_is_seen_after_loss_of_history(world):
@@ -204,7 +204,7 @@
     world.store.drop("op", "evacuate/a")
     world.store.forget_history()
     world.store.mode = store.Mode.WELL
-    world.wait(lambda: world.inst.evacuations.now() == {"b"})
+    world.wait(lambda: world.inst.evacuations.active() == {"b"})
 
 
 def _at(revision, era=0):
@@ -218,21 +218,21 @@
 _SEQUENCES = {
     "begun and lifted": [
         ("replace", [], _at(1), 0.0, set()),
-        ("change", [_row("a")], _at(2), 1.0, {"a"}),
-        ("change", [_row("b"), _row("a", False)], _at(3), 2.0, {"b"}),
+        ("apply", [_row("a")], _at(2), 1.0, {"a"}),
+        ("apply", [_row("b"), _row("a", False)], _at(3), 2.0, {"b"}),
         ("replace", [], _at(4), 3.0, set()),
     ],
     "an older event arrives later": [
         ("replace", ["a"], _at(5), 0.0, {"a"}),
         ("replace", [], _at(4), 1.0, {"a"}),
-        ("change", [_row("a", False)], _at(3), 1.0, {"a"}),
+        ("apply", [_row("a", False)], _at(3), 1.0, {"a"}),
     ],
     "the backup lacks it, and it is written again": [
         ("replace", ["a"], _at(9), 0.0, {"a"}),
         ("replace", [], _at(2, 1), 1.0, {"a"}),
-        ("change", [_row("a")], _at(3, 1), 2.0, {"a"}),
+        ("apply", [_row("a")], _at(3, 1), 2.0, {"a"}),
         ("expire", 60.0, {"a"}),
-        ("change", [_row("a", False)], _at(4, 1), 61.0, set()),
+        ("apply", [_row("a", False)], _at(4, 1), 61.0, set()),
     ],
     "the backup lacks it, and others are written again": [
         ("replace", ["a"], _at(9), 0.0, {"a"}),
@@ -249,9 +249,9 @@
     ],
     "the backup lacks that it was lifted": [
         ("replace", ["a"], _at(5), 0.0, {"a"}),
-        ("change", [_row("a", False)], _at(9), 1.0, set()),
+        ("apply", [_row("a", False)], _at(9), 1.0, set()),
         ("replace", ["a"], _at(5, 1), 2.0, {"a"}),
-        ("change", [_row("a", False)], _at(6, 1), 3.0, set()),
+        ("apply", [_row("a", False)], _at(6, 1), 3.0, set()),
     ],
     "an event of the previous era arrives later": [
         ("replace", [], _at(9), 0.0, set()),
@@ -262,7 +262,7 @@
         ("replace", ["a", "b"], _at(9), 0.0, {"a", "b"}),
         ("replace", ["b"], _at(2, 1), 1.0, {"a", "b"}),
         ("replace", [], _at(1, 2), 1.5, {"a", "b"}),
-        ("change", [_row("b")], _at(2, 2), 2.0, {"a", "b"}),
+        ("apply", [_row("b")], _at(2, 2), 2.0, {"a", "b"}),
         ("expire", 32.0, {"b"}),
     ],
 }
@@ -273,10 +273,10 @@
     tracked = evacuations.Evacuations()
     for number, (what, *given, expected) in enumerate(sequence):
         if what == "wrote":
-            tracked.operators_wrote(*given)
+            tracked.record_operator_write(*given)
         else:
             getattr(tracked, what)(*given)
-        assert tracked.now() == expected, (number, what)
+        assert tracked.active() == expected, (number, what)
 
 
 def test_changes_are_reported_once():
--- a/irisshelf/tests/test_fact_gossip.py
+++ b/irisshelf/tests/test_fact_gossip.py
@@ -15,7 +15,7 @@
 from irisshelf.gateway.knowledge import fact_gossip
 from irisshelf.observe import decision_log
 
-_KEY = directory.key_of("s1")
+_KEY = directory.short_id("s1")
 _PREFIX = bytes([datagrams.Kind.SERVER_FACTS])
 
 
@@ -156,7 +156,7 @@
     sent = []
     four[0].datagrams.send = lambda address, data: sent.append(data)
     for number in range(300):
-        key = directory.key_of(f"s{number % servers}")
+        key = directory.short_id(f"s{number % servers}")
         four[0].gossip.publish(
             facts.ServerLoad(server=key, work=10**6, at_s=boottime.now() - 4.9)
         )
--- a/irisshelf/tests/test_gateway_store.py
+++ b/irisshelf/tests/test_gateway_store.py
@@ -175,9 +175,9 @@
     leaver = world.plain[0]
     recovered_s = boottime.now() - 1.5
     listed.on_store_regained(recovered_s)
-    gone = feed.Item(key=leaver.server_id, value=None)
+    gone = feed.DecodedRow(key=leaver.server_id, value=None)
     batch = feed.Batch(
-        items=(gone,), position=_at(99), store_s=0.0, whole=False
+        items=(gone,), position=_at(99), store_s=0.0, is_snapshot=False
     )
     listed.apply_batch(batch, boottime.now())
     assert world.inst.directory.get(leaver.server_id) is not None
--- a/irisshelf/tests/test_platform.py
+++ b/irisshelf/tests/test_platform.py
@@ -143,7 +143,7 @@
         )
 
     def put(self, number, *, signers=("anna",), spoil="", say=None):
-        sealed, sections = envelope.seal(examples.bundle(number=number))
+        sealed, sections = envelope.create(examples.bundle(number=number))
         for name in signers:
             sealed = signing.sign(
                 sealed, name=name, private_pem=examples.private_pem(name)
@@ -152,10 +152,10 @@
             stored = b"{}" if spoil == name else data
             digest = sealed.manifest.sections[name]
             self.platform.put_object(
-                envelope.section_key(digest), canonical.pack(stored)
+                envelope.section_key(digest), canonical.compress(stored)
             )
         key = envelope.object_key(sealed)
-        body = canonical.pack(envelope.encode(sealed))
+        body = canonical.compress(envelope.encode(sealed))
         self.platform.put_object(
             key, body[:-9] if spoil == "envelope" else body
         )
--- a/irisshelf/tests/test_saturated_link.py
+++ b/irisshelf/tests/test_saturated_link.py
@@ -73,7 +73,7 @@
     """Guards against double runs: an idle connection proves no working link."""
     assert world.ask(target).status == 200
     for name in ("crew", "lm"):
-        for listed in world.inst.directory.of(name):
+        for listed in world.inst.directory.servers_of(name):
             conn = world.connect_to(listed)
             world.inst.servers.connection_pool.add_idle(listed, conn)
     conn = world.connect()
--- a/irisshelf/tests/test_server_restarts.py
+++ b/irisshelf/tests/test_server_restarts.py
@@ -33,7 +33,7 @@
 
 def _incarnation(born_ms, port=1):
     return directory.BackendServer(
-        server_id=directory.life_id("i-1", born_ms),
+        server_id=directory.incarnation_id("i-1", born_ms),
         entry_id="i-1",
         born_ms=born_ms,
         service="crew",
@@ -61,7 +61,7 @@
 
 
 def _load_from_peers(world, server):
-    key = directory.key_of(server.server_id)
+    key = directory.short_id(server.server_id)
     fact = facts.ServerLoad(server=key, work=18, at_s=world.inst.now())
     world.inst.servers.apply_fact(fact)
     return lambda of: _stats(world).load(of.server_id, world.inst.now()) > 5
@@ -94,7 +94,7 @@
 
 
 def _cached_prompt_from_peers(world, server):
-    key = directory.key_of(server.server_id)
+    key = directory.short_id(server.server_id)
     chooser = world.inst.servers.chooser("crew")
     for part in chooser.record_sent(_PROMPT, "another", world.inst.now()):
         world.inst.servers.apply_fact(facts.PartCached(server=key, part=part))
@@ -178,11 +178,13 @@
     found.apply(
         [directory.Change(entry_id="i-1", server=_incarnation(_BORN_MS))]
     )
-    found.lapse([directory.Change(entry_id="i-1", server=None)], back_s=1.0)
+    found.apply_after_outage(
+        [directory.Change(entry_id="i-1", server=None)], recovered_s=1.0
+    )
     again = directory.Change(entry_id="i-1", server=_incarnation(born_ms))
-    found.lapse([again], back_s=1.0)
+    found.apply_after_outage([again], recovered_s=1.0)
     assert found.expire(9.0) == ()
-    assert [server.server_id for server in found.of("crew")] == names
+    assert [server.server_id for server in found.servers_of("crew")] == names
 
 
 @pytest.mark.parametrize(
@@ -276,11 +278,11 @@
         world.store.drop("servers", other.server_id)
     one.born_ms = _BORN_MS
     world.store.put("servers", one.server_id, one.entry())
-    server_id = directory.life_id(one.server_id, _BORN_MS)
+    server_id = directory.incarnation_id(one.server_id, _BORN_MS)
     world.wait(
         lambda: (
             world.inst.directory.get(one.server_id).server_id == server_id
-            and len(world.inst.directory.of("crew")) == 1
+            and len(world.inst.directory.servers_of("crew")) == 1
         )
     )
     assert world.ask("/alarm/1", Request_Id="named").status == 200
--- a/irisshelf/tests/test_shared_watch.py
+++ b/irisshelf/tests/test_shared_watch.py
@@ -273,14 +273,14 @@
             self.version = max(self.version or 0, self.stored)
         if self.behind():
             return
-        self.fresh.told(
+        self.fresh.record_answer(
             sent_s=sent_s,
             received_s=self.clock_s,
             store_s=store_s,
             era=at.era,
         )
         brought = before is not None and self.version > before
-        as_of_s = self.fresh.time_of(store_s, self.clock_s, at.era)
+        as_of_s = self.fresh.to_local_time(store_s, self.clock_s, at.era)
         self.watches[_CATALOG].record_caught_up(
             as_of_s if brought else self.clock_s
         )
@@ -307,7 +307,7 @@
                 self.sim.send_datagram(other, update)
 
     def receive(self, update):
-        as_of_s = self.fresh.time_of(
+        as_of_s = self.fresh.to_local_time(
             update.store_s, self.clock_s, update.position.era
         )
         if isinstance(update, shared_watch.CatalogUpdate):
@@ -318,7 +318,7 @@
             )
             if verdict is _Verdict.CURRENT:
                 if not self.behind():
-                    self.fresh.confirmed(as_of_s)
+                    self.fresh.record_confirmed(as_of_s)
                 watch.advance_to(update.position)
         else:
             table = _SERVERS
--- a/irisshelf/tests/test_silent_connections.py
+++ b/irisshelf/tests/test_silent_connections.py
@@ -50,12 +50,12 @@
         monitored_connection, "CONNECTION_SILENCE_LIMIT_S", silent_s
     )
     idle_conns = {}
-    for server in world.inst.directory.of("crew"):
+    for server in world.inst.directory.servers_of("crew"):
         idle_conns[server.server_id] = world.connect_to(server)
         world.inst.servers.connection_pool.add_idle(
             server, idle_conns[server.server_id]
         )
-    target = world.inst.directory.of("crew")[0]
+    target = world.inst.directory.servers_of("crew")[0]
     world.inst.servers.connection_pool.add_idle(
         target, world.connect_to(target)
     )
--- a/irisshelf/tests/test_store_pages.py
+++ b/irisshelf/tests/test_store_pages.py
@@ -41,7 +41,7 @@
 
     store.on_page = change
     reader = store_feed.StoreFeed(address=store.address)
-    whole = reader.whole(feed.Table.SERVERS).ok_value
+    whole = reader.snapshot(feed.Table.SERVERS).ok_value
     assert [item.key for item in whole.items] == _NAMES
     later = reader.changes(
         feed.Table.SERVERS, after=whole.position, wait_s=0.0
@@ -59,9 +59,9 @@
 
     store.on_page = fail_at_the_second
     reader = store_feed.StoreFeed(address=store.address)
-    assert reader.whole(feed.Table.SERVERS).is_err()
+    assert reader.snapshot(feed.Table.SERVERS).is_err()
     store.mode = store_module.Mode.WELL
-    whole = reader.whole(feed.Table.SERVERS).ok_value
+    whole = reader.snapshot(feed.Table.SERVERS).ok_value
     assert [item.key for item in whole.items] == _NAMES
     assert pages.count("") == 1
     gevent.sleep(0)
@@ -69,9 +69,9 @@
 
 def test_a_list_that_was_read_is_read_anew_the_next_time(store):
     reader = store_feed.StoreFeed(address=store.address)
-    reader.whole(feed.Table.SERVERS)
+    reader.snapshot(feed.Table.SERVERS)
     store.drop("servers", _NAMES[0])
-    whole = reader.whole(feed.Table.SERVERS).ok_value
+    whole = reader.snapshot(feed.Table.SERVERS).ok_value
     assert [item.key for item in whole.items] == _NAMES[1:]
 
 
@@ -95,7 +95,7 @@
     after = position.Position(era=0, revision=last - versions)
     batch = reader.changes(feed.Table.CATALOG, after=after, wait_s=0.0).ok_value
     assert batch.complete is complete
-    whole = reader.whole(feed.Table.CATALOG).ok_value
+    whole = reader.snapshot(feed.Table.CATALOG).ok_value
     assert (len(whole.items), whole.complete) == (1, True)
     brought = len(batch.items)
     while not batch.complete and batch.position.revision < last:
--- a/irisshelf/tests/test_store_restore.py
+++ b/irisshelf/tests/test_store_restore.py
@@ -69,7 +69,7 @@
     _wait_listed(world, new_server.server_id)
     _restore(world.store, backup, extra)
     _wait_listed(world, new_server.server_id, there=False)
-    assert len(world.inst.directory.of("crew")) == 2
+    assert len(world.inst.directory.servers_of("crew")) == 2
 
 
 @pytest.mark.parametrize("extra", _REVISIONS)
@@ -240,7 +240,7 @@
 
     store.on_page = restore
     reader = store_feed.StoreFeed(address=store.address)
-    batch = reader.whole(feed.Table.SERVERS).ok_value
+    batch = reader.snapshot(feed.Table.SERVERS).ok_value
     assert [item.key for item in batch.items] == [f"s{n}" for n in range(5)]
     assert batch.position == position.Position(era=1, revision=backup.ver)
     store.close()
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -326,7 +326,7 @@
     _start(instances)
     one = instances[0]
     gone = directory.Change(entry_id="s1", server=None)
-    one.inst.directory.lapse([gone], back_s=boottime.now())
+    one.inst.directory.apply_after_outage([gone], recovered_s=boottime.now())
     assert one.inst.directory.get("s1") is not None
     data = one.follower._relay._encode_table(_SERVERS)
     assert table_snapshot.decode(data).servers == []
@@ -440,7 +440,7 @@
     clocks = [freshness.Freshness() for _ in clock_offsets_s]
     now_s = 10.0
     delays_s = [rng.uniform(0.0, 0.5) for _ in range(8)]
-    clocks[0].told(
+    clocks[0].record_answer(
         sent_s=now_s + clock_offsets_s[0],
         received_s=now_s + delays_s[0] + delays_s[1] + clock_offsets_s[0],
         store_s=now_s + delays_s[0] + store_offset_s,
@@ -450,13 +450,15 @@
     for index in range(1, 4):
         sent_s = now_s
         now_s += delays_s[2 * index - 1]
-        clock_s = clocks[index - 1].clock_s(now_s + clock_offsets_s[index - 1])
+        clock_s = clocks[index - 1].estimate_store_clock(
+            now_s + clock_offsets_s[index - 1]
+        )
         assert clock_s >= now_s + store_offset_s - 1e-9
         now_s += delays_s[2 * index]
-        clocks[index].heard_clock(
+        clocks[index].record_peer_estimate(
             sent_s=sent_s + clock_offsets_s[index], clock_s=clock_s, era=0
         )
-        estimate_s = clocks[index].time_of(
+        estimate_s = clocks[index].to_local_time(
             response_s + store_offset_s, now_s + clock_offsets_s[index]
         )
         assert estimate_s <= response_s + clock_offsets_s[index] + 1e-9
--- a/irisshelf/tests/test_untrusted_input.py
+++ b/irisshelf/tests/test_untrusted_input.py
@@ -132,7 +132,7 @@
     store.put("servers", "good-2", _VALID)
     reader = store_feed.StoreFeed(address=store.address)
     for read in (
-        reader.whole(feed.Table.SERVERS),
+        reader.snapshot(feed.Table.SERVERS),
         reader.changes(
             feed.Table.SERVERS,
             after=position.Position(era=0, revision=0),
@@ -167,15 +167,17 @@
     listed = server_list.ServerList(inst=world.inst)
     server = world.plain[0]
     listed.on_store_lost()
-    rows = [feed.Item(key=server.server_id, value=None, problem="garbled")]
+    rows = [
+        feed.DecodedRow(key=server.server_id, value=None, problem="garbled")
+    ]
     if whole:
         rows += [
-            feed.Item(key=one.server_id, value=one)
+            feed.DecodedRow(key=one.server_id, value=one)
             for one in world.inst.directory.servers()
             if one.server_id != server.server_id
         ]
     batch = feed.Batch(
-        items=tuple(rows), position=_FAR, store_s=0.0, whole=whole
+        items=tuple(rows), position=_FAR, store_s=0.0, is_snapshot=whole
     )
     listed.apply_batch(batch, world.inst.now())
     assert world.inst.directory.get(server.server_id) is None
--- a/specs/fuzz.py
+++ b/specs/fuzz.py
@@ -160,11 +160,11 @@
 
     def _envelope(self) -> None:
         bundle = schema.Bundle.model_validate(_bundle())
-        sealed, sections = envelope.seal(bundle)
+        sealed, sections = envelope.create(bundle)
         text = self._text(sealed.model_dump())
         parsed = check.parse(text, model=envelope.Envelope)
         if isinstance(parsed, result.Ok):
-            envelope.open_sections(parsed.ok_value, sections)
+            envelope.assemble_bundle(parsed.ok_value, sections)
 
     def _gossip(self) -> None:
         gossip_messages.decode(self._coded(_GOSSIP))
