--- a/irisshelf/catalog/__init__.py
+++ b/irisshelf/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""What operators configure and which backend servers are there: plain data."""
+"""Configuration by the operators and the list of backend servers."""
--- a/irisshelf/catalog/freshness.py
+++ b/irisshelf/catalog/freshness.py
@@ -1,12 +1,13 @@
-"""How old what the store told is, at the most.
+"""Upper bound on the age of the data received from the store.
 
-Answers of the store carry its steady clock. A call sent at ``sent_s`` (ours)
-and answered with ``store_s`` (the store's) shows that the store's clock is
-behind ours by at least ``sent_s - store_s``. The largest such difference seen
-turns any later store time into a time of ours that is surely not too late.
+Answers of the store carry its monotonic clock. A call sent at ``sent_s`` (local
+clock) and answered with ``store_s`` (store's clock) shows that the local clock
+is ahead of the store's by at least ``sent_s - store_s``. Adding the largest
+difference seen so far to a time of the store gives a lower bound on the
+corresponding local time.
 
-A store that has come back from a copy may have another clock: what was learnt
-of it in an earlier era (``position.Position``) is dropped.
+A store restored from a backup may use another clock, so the difference is
+discarded when a new era (``position.Position``) begins.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Freshness:
-    """A lower bound on when the store last told all it knew."""
+    """Lower bound on the local time up to which all changes are known."""
 
     def __init__(self):
         self._era = 0
@@ -25,11 +26,11 @@
     def record_answer(
         self, *, sent_s: float, received_s: float, store_s: float, era: int = 0
     ) -> None:
-        """Takes an answer that held all changes up to ``store_s``.
+        """Records an answer that held all changes up to ``store_s``.
 
         Args:
-            sent_s: When the call was sent.
-            received_s: When it was answered.
+            sent_s: Local time at which the call was sent.
+            received_s: Local time at which the answer was received.
             store_s: The store's clock in the answer.
             era: The store's era.
         """
@@ -43,9 +44,9 @@
         self._as_of_s = max(self._as_of_s, sent_s, as_of_s)
 
     def estimate_store_clock(self, now: float) -> float | None:
-        """Returns a time, surely not too early, of the store's clock now.
+        """Returns an upper bound on the store's current clock.
 
-        None before the first answer.
+        None before the first answer of an era.
         """
         if self._offset_s == -math.inf:
             return None
@@ -54,11 +55,12 @@
     def record_peer_estimate(
         self, *, sent_s: float, clock_s: float, era: int
     ) -> None:
-        """Takes another instance's ``clock_s``, asked for at a time.
+        """Records another instance's estimate of the store's clock.
 
         Args:
-            sent_s: When the question was sent.
-            clock_s: The answer, of a later time.
+            sent_s: Local time at which the estimate was requested.
+            clock_s: The result of ``estimate_store_clock`` on the other
+                instance, computed after ``sent_s``.
             era: The store's era.
         """
         if era < self._era:
@@ -69,7 +71,7 @@
         self._offset_s = max(self._offset_s, sent_s - clock_s)
 
     def to_local_time(self, store_s: float, now: float, era: int = 0) -> float:
-        """Returns a time, surely not too late, of a moment of the store's.
+        """Returns a lower bound on the local time of a store's clock reading.
 
         Minus infinity before the first answer of an era.
         """
@@ -78,9 +80,9 @@
         return min(now, store_s + self._offset_s)
 
     def record_confirmed(self, as_of_s: float) -> None:
-        """Takes that all changes up to a time are known."""
+        """Records that all changes up to a local time are known."""
         self._as_of_s = max(self._as_of_s, as_of_s)
 
     def age_s(self, now: float) -> float:
-        """Returns the age; infinite if the store has told nothing yet."""
+        """Returns the maximum age; infinite before the first answer."""
         return now - self._as_of_s
--- a/irisshelf/catalog/model.py
+++ b/irisshelf/catalog/model.py
@@ -1,6 +1,6 @@
 """The configuration in force: routes, services, teams and limits on callers.
 
-A catalog is immutable; a new version replaces the whole of it. Times are in
+A catalog is immutable and is replaced as a whole by a new version. Times are in
 seconds.
 """
 
@@ -13,7 +13,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """How often a request of a route may run, and what its answer is."""
+    """Whether a route's requests may be repeated, and its type of response."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Split:
-    """A service that takes a part of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
@@ -30,22 +30,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """One route.
+    """A route from a host and path prefix to services.
 
     Attributes:
-        name: Its name, for logs.
-        host: The host it belongs to, in lower case.
+        name: Name used in logs.
+        host: Host name in lower case.
         path_prefix: Begins and ends with a slash.
-        kind: What may be repeated and how answers come.
-        timeout_s: Longest time that a request may be held.
-        target_s: Latency objective, to the first byte of a stream.
-        target_gap_s: Longest pause between events that is still in time.
+        kind: Whether requests may be repeated, and the type of response.
+        timeout_s: Maximum time to process a request.
+        latency_target_s: Latency objective; for streams, to the first byte.
+        event_gap_target_s: Objective for the longest pause between two events
+            of a stream.
         priority: 0 is the most urgent.
-        split: Services by weight; at least one.
-        max_attempts: Most backend servers that one request may be sent to.
+        split: Services with their weights; at least one.
+        max_attempts: Maximum number of backend servers to which a request is
+            sent.
         public: Whether requests need no key.
-        resumable: Whether a stream may go on at another backend server.
-        regions: Where its requests may be served; empty for anywhere.
+        resumable: Whether a stream may be resumed on another backend server.
+        regions: Regions in which requests may be served; empty for all.
     """
 
     name: str
@@ -64,7 +66,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request that may already have run may be sent again."""
         if self.kind is RouteKind.SAFE:
             return True
         return self.kind is RouteKind.STREAMING and self.resumable
@@ -72,15 +74,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """A service: a set of alike backend servers.
+    """A service: a set of interchangeable backend servers.
 
     Attributes:
-        name: Its name.
-        max_connections: Connections one server takes, from all callers.
-        engine_slots: Requests a model engine batches; 0 for plain services.
-        cold_start_s: How long a server is cold after its start.
-        cold_per_s: Requests a second that a cold server bears; 0 if a cold one
-            bears as many as others.
+        name: Name of the service.
+        max_connections: Maximum number of connections that a server accepts
+            from all callers together.
+        engine_slots: Number of requests in a batch of a model engine; 0 for
+            plain services.
+        cold_start_s: Duration for which a server is cold after its start.
+        cold_per_s: Requests per second that a cold server can handle; 0 if a
+            cold server can handle as many as a warm one.
     """
 
     name: str
@@ -95,9 +99,9 @@
     """A team.
 
     Attributes:
-        name: Its name.
-        priority: Goes before a route's, if there is one.
-        regions: Where its requests may be served; empty for anywhere.
+        name: Name of the team.
+        priority: Overrides the priority of the route; None to use the route's.
+        regions: Regions in which requests may be served; empty for all.
     """
 
     name: str
@@ -106,9 +110,9 @@
 
 
 def common_regions(*allowed: frozenset[str]) -> frozenset[str] | None:
-    """Returns the regions that all sets allow; None for anywhere.
+    """Returns the regions that all sets allow; None for all regions.
 
-    An empty set allows all, so that what nothing allows is told apart.
+    An empty argument allows all regions, whereas an empty result allows none.
 
     Example:
         >>> common_regions(frozenset({"north", "south"}), frozenset({"south"}))
@@ -116,19 +120,19 @@
         >>> common_regions(frozenset(), frozenset()) is None
         True
     """
-    binding = [regions for regions in allowed if regions]
-    return frozenset.intersection(*binding) if binding else None
+    restricted = [regions for regions in allowed if regions]
+    return frozenset.intersection(*restricted) if restricted else None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how slowly.
+    """Limits on the size of callers' requests and on the time to send them.
 
     Attributes:
-        head_bytes: Most bytes of a request's head.
-        body_bytes: Most bytes of a request's body.
-        head_s: Longest time for a head to come in.
-        idle_s: Longest rest of a kept connection.
+        head_bytes: Maximum size of a request head.
+        body_bytes: Maximum size of a request body.
+        head_s: Maximum time to receive a request head.
+        idle_s: Maximum idle time of a keep-alive connection.
     """
 
     head_bytes: int = 16384
@@ -139,7 +143,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Catalog:
-    """One version of the configuration, whole."""
+    """A complete version of the configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -149,16 +153,16 @@
 
     @functools.cached_property
     def _by_host(self) -> dict[str, dict[str, Route]]:
-        found: dict[str, dict[str, Route]] = {}
+        by_host: dict[str, dict[str, Route]] = {}
         for route in self.routes:
-            found.setdefault(route.host, {})[route.path_prefix] = route
-        return found
+            by_host.setdefault(route.host, {})[route.path_prefix] = route
+        return by_host
 
     def route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins the path.
+        """Returns the route with the longest prefix that matches the path.
 
         Args:
-            host: The host as the caller named it, with or without a port.
+            host: The host given by the caller, with or without a port.
             path: The path without a query.
         """
         prefixes = self._by_host.get(host.partition(":")[0].lower())
@@ -172,5 +176,5 @@
         return None
 
     def team(self, key: str) -> Team | None:
-        """Returns the team that holds a key."""
+        """Returns the team to which a key belongs."""
         return self.teams.get(key)
--- a/irisshelf/catalog/position.py
+++ b/irisshelf/catalog/position.py
@@ -1,10 +1,10 @@
-"""Where an answer of the shared store stands in the store's history.
+"""Positions in the history of the shared store.
 
-Revisions order what the store says, but only within one era: when the store
-comes back from a copy of its tables it has lost what it accepted since the copy
-was made, counts on from the copy's revision, and begins the next era. What it
-says in a later era stands after all that it said in an earlier one, whatever
-the revisions are.
+Revisions order the store's answers within one era only. A store that is
+restored from a backup has lost the transactions accepted since the backup was
+made: it continues from the backup's revision and starts the next era. Every
+answer of a later era is ordered after all answers of earlier eras, whatever
+their revisions.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True, order=True)
 class Position:
-    """A moment of the store's history.
+    """A point in the store's history.
 
     Attributes:
-        era: How often the store has come back from a copy.
-        revision: Its count of transactions, which goes back with a copy.
+        era: Number of times the store was restored from a backup.
+        revision: The store's transaction count; a restore sets it back.
 
     Example:
         >>> Position(era=0, revision=90) < Position(era=1, revision=40)
@@ -30,8 +30,8 @@
 
 
 def follows(later: Position, earlier: Position) -> bool:
-    """Tells whether changes since one position lead to another.
+    """Returns whether one position can be reached from another by changes.
 
-    Between two eras there are none: all has to be read anew.
+    No changes lead from one era to another: a snapshot must be read instead.
     """
     return later.era == earlier.era and later.revision >= earlier.revision
--- a/irisshelf/store/__init__.py
+++ b/irisshelf/store/__init__.py
@@ -1,1 +1,1 @@
-"""The shared store: one abstract entry and its backends."""
+"""Interfaces of the shared store and its HTTP client."""
--- a/irisshelf/store/errors.py
+++ b/irisshelf/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the platform layer."""
+"""Errors returned by calls to the platform."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Effect(enum.StrEnum):
-    """Whether a write that failed may nevertheless have taken effect."""
+    """Whether a failed write may nevertheless have been applied."""
 
     NONE = "none"
     UNKNOWN = "unknown"
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unavailable:
-    """The platform did not answer, or answered that it cannot now."""
+    """The platform did not answer or is temporarily unavailable."""
 
     effect: Effect
     detail: str
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FailedCondition:
-    """One write of a transaction whose condition did not hold.
+    """A write of a transaction whose condition was not met.
 
     Attributes:
-        index: Place of the write in the transaction.
-        version: Version of the row now; 0 if there is none.
-        value: Content of the row now; None if there is none.
+        index: Index of the write in the transaction.
+        version: Current version of the row; 0 if it does not exist.
+        value: Current content of the row; None if it does not exist.
     """
 
     index: int
@@ -40,14 +40,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Conflict:
-    """A transaction that did nothing, since some condition did not hold."""
+    """A transaction that was not applied because a condition was not met."""
 
     failed: tuple[FailedCondition, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotFound:
-    """There is no such row or object."""
+    """The row or object does not exist."""
 
     key: str
 
--- a/irisshelf/store/feed.py
+++ b/irisshelf/store/feed.py
@@ -1,7 +1,7 @@
-"""The one entry point for following a table of the shared store.
+"""Interface for following tables of the shared store.
 
-A backend answers whole tables and changes since a position. Rows are decoded
-by the backend; nothing else knows how they are written down.
+A backend returns snapshots of tables and changes since a position. It also
+decodes the rows, so that no other module depends on their stored format.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class Table(enum.StrEnum):
-    """What can be followed.
+    """Tables that can be followed.
 
     Attributes:
-        CATALOG: The operators' rows: configurations (``model.Catalog``) and
-            evacuations (``evacuations.Evacuation``).
+        CATALOG: Rows written by operators: configurations
+            (``model.Catalog``) and evacuations (``evacuations.Evacuation``).
         SERVERS: Entries of backend servers (``directory.BackendServer``).
     """
 
@@ -34,15 +34,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DecodedRow(Generic[_T]):
-    """A row: its decoded content, or None if it is gone or unreadable.
+    """A row of a table after decoding.
 
     Attributes:
         key: The row's key.
-        value: The content.
-        problem: Why a row that is there could not be decoded; empty if it
-            could.
-        raw: A configuration as the store has it; empty for other rows.
-        revision: The store's count when the row was written; 0 if not known.
+        value: The decoded content; None if the row was deleted or could not
+            be decoded.
+        problem: Why an existing row could not be decoded; empty if it could.
+        raw: The encoded configuration as stored; empty for other rows.
+        revision: The store's revision when the row was written; 0 if unknown.
     """
 
     key: str
@@ -54,17 +54,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Batch(Generic[_T]):
-    """A whole table, or what changed in it.
+    """A snapshot of a table, or changes to it.
 
     Attributes:
         items: The rows.
-        position: Ask for changes after this one next time.
-        store_s: The store's steady clock when it answered.
-        whole: Whether these are all rows there are.
-        complete: Whether these are all changes up to ``store_s``; if not, the
-            store has cut the answer off, and more come after ``position``.
-        size_bytes: Of the answer, or of its last page, as it was transferred.
-        transfer_s: From its first byte to its last one, in seconds.
+        position: The position after which to request the next changes.
+        store_s: The store's monotonic clock when it answered.
+        is_snapshot: Whether ``items`` holds all rows of the table.
+        complete: Whether ``items`` holds all changes up to ``store_s``. If
+            not, the store truncated the answer, and further changes follow
+            after ``position``.
+        size_bytes: Size of the answer, or of its last page, as transferred.
+        transfer_s: Seconds between the first and the last byte of the answer
+            or of its last page.
     """
 
     items: tuple[DecodedRow[_T], ...]
@@ -78,16 +80,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unavailable:
-    """The store did not answer, or turned the call away."""
+    """The store did not answer or rejected the call."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HistoryLost:
-    """The store does not know what came after the position asked for.
+    """The store has no changes after the requested position.
 
-    It has dropped its history, or come back from a copy.
+    It has truncated its history or was restored from a backup.
     """
 
 
@@ -99,7 +101,7 @@
 
     @abc.abstractmethod
     def snapshot(self, table: Table) -> result.Result[Batch, Unavailable]:
-        """Reads a whole table as of one moment."""
+        """Reads a consistent snapshot of a table."""
 
     @abc.abstractmethod
     def changes(
@@ -112,15 +114,15 @@
         """Waits for changes after a position.
 
         Args:
-            table: What to follow.
-            after: The position known.
-            wait_s: How long the store may hold the call if nothing changes.
+            table: The table to follow.
+            after: The last position known to the caller.
+            wait_s: Maximum duration of the long poll if nothing changes.
         """
 
     @abc.abstractmethod
     def decode(self, raw: bytes) -> DecodedRow:
-        """Decodes a configuration that another instance has relayed."""
+        """Decodes a configuration relayed by another instance."""
 
     @abc.abstractmethod
     def reset(self, table: Table) -> None:
-        """Drops the connection used for a table; a held call fails."""
+        """Closes the connection used for a table; a pending long poll fails."""
--- a/irisshelf/store/http_client.py
+++ b/irisshelf/store/http_client.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, by geventhttpclient."""
+"""HTTP client of the platform, based on geventhttpclient."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 _OK = 200
 _NOT_FOUND = 404
 _CONFLICT = 409
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 _CLAIM_IN_PATH = "key=claims%2F"
 _CLAIM_IN_BODY = b'"key": "claims/'
 _TRANSPORT_ERRORS = (OSError, http_client.HTTPException)
 
 
 class HttpPlatform(interface.Platform):
-    """Talks to the platform's HTTP front.
+    """Calls the platform's HTTP API.
 
     Args:
-        host: IP number of the platform.
+        host: IP address of the platform.
         port: Port of the platform.
-        timeout_s: Limit on connecting and on each wait for an answer.
-        count: Told of the bytes that each call took.
+        timeout_s: Time-out for connecting and for each read or write.
+        count: Called with the traffic category and size of each call.
     """
 
     def __init__(
@@ -73,8 +73,8 @@
         if status == _OK:
             return _decode(data, lambda doc: tuple(map(int, doc["versions"])))
         if status == _CONFLICT:
-            return _decode(data, _conflict).and_then(result.Err)
-        return result.Err(_refused(status))
+            return _decode(data, _parse_conflict).and_then(result.Err)
+        return result.Err(_to_unavailable(status))
 
     def read(
         self, key: str
@@ -88,7 +88,7 @@
         if status == _NOT_FOUND:
             return result.Err(errors.NotFound(key=key))
         if status != _OK:
-            return result.Err(_refused(status))
+            return result.Err(_to_unavailable(status))
         return _decode(
             data,
             lambda doc: messages.Row(
@@ -106,7 +106,7 @@
         status, _ = answer.ok_value
         if status == _OK:
             return result.Ok(None)
-        return result.Err(_refused(status))
+        return result.Err(_to_unavailable(status))
 
     def get_object(
         self, key: str
@@ -119,7 +119,7 @@
         if status == _NOT_FOUND:
             return result.Err(errors.NotFound(key=key))
         if status != _OK:
-            return result.Err(_refused(status))
+            return result.Err(_to_unavailable(status))
         return result.Ok(data)
 
     def nodes(
@@ -131,8 +131,8 @@
             return answer
         status, data = answer.ok_value
         if status != _OK:
-            return result.Err(_refused(status))
-        return _decode(data, _changes)
+            return result.Err(_to_unavailable(status))
+        return _decode(data, _parse_node_changes)
 
     def _call(
         self, method: str, path: str, body: Any = None
@@ -144,7 +144,7 @@
             response = self._client.request(method, path, body=data or b"")
             content = bytes(response.read())
         except _TRANSPORT_ERRORS as exc:
-            # The request may have been carried out before the answer was lost.
+            # The platform may have processed the request before the failure.
             return result.Err(
                 errors.Unavailable(
                     effect=errors.Effect.UNKNOWN,
@@ -153,12 +153,16 @@
             )
         if self.count is not None:
             size = traffic.of_exchange(path, data or b"", response, content)
-            self.count(_kind(path, data or b""), size)
+            self.count(_traffic_category(path, data or b""), size)
         return result.Ok((response.status_code, content))
 
 
-def _kind(path: str, data: bytes) -> str:
-    """Names a call for the count; claims grow with requests, not with time."""
+def _traffic_category(path: str, data: bytes) -> str:
+    """Returns the category under which the traffic of a call is counted.
+
+    Claims are counted separately, since their traffic grows with the number
+    of requests and not with time.
+    """
     if _CLAIM_IN_PATH in path or _CLAIM_IN_BODY in data:
         return "claims"
     return "platform_" + path.split("/")[2].partition("?")[0]
@@ -168,12 +172,15 @@
     return f"/v1/objects/{urllib.parse.quote(key)}"
 
 
-def _refused(status: int) -> errors.Unavailable:
-    """Turns a refusal of the platform's front; 429 and 503 had no effect."""
-    known = status in (_TOO_MANY, 503)
+def _to_unavailable(status: int) -> errors.Unavailable:
+    """Converts an unexpected status to an error.
+
+    Calls answered with 429 or 503 were rejected before they had any effect.
+    """
+    rejected = status in (_TOO_MANY_REQUESTS, 503)
     return errors.Unavailable(
-        effect=errors.Effect.NONE if known else errors.Effect.UNKNOWN,
-        detail=f"the platform answered {status}",
+        effect=errors.Effect.NONE if rejected else errors.Effect.UNKNOWN,
+        detail=f"platform answered with HTTP status {status}",
     )
 
 
@@ -184,12 +191,12 @@
         return result.Err(
             errors.Unavailable(
                 effect=errors.Effect.UNKNOWN,
-                detail=f"the platform's answer is garbled: {exc}",
+                detail=f"malformed answer from the platform: {exc}",
             )
         )
 
 
-def _conflict(doc: Any) -> errors.Conflict:
+def _parse_conflict(doc: Any) -> errors.Conflict:
     failed = tuple(
         errors.FailedCondition(
             index=int(item["index"]),
@@ -201,16 +208,16 @@
     return errors.Conflict(failed=failed)
 
 
-def _changes(doc: Any) -> messages.NodeChanges:
+def _parse_node_changes(doc: Any) -> messages.NodeChanges:
     return messages.NodeChanges(
         version=int(doc["version"]),
         whole=bool(doc["whole"]),
-        changed=tuple(map(_node, doc["changed"])),
+        changed=tuple(map(_parse_node, doc["changed"])),
         removed=tuple(map(str, doc["removed"])),
     )
 
 
-def _node(doc: Any) -> messages.Node:
+def _parse_node(doc: Any) -> messages.Node:
     return messages.Node(
         name=str(doc["name"]),
         role=messages.NodeRole(doc["role"]),
--- a/irisshelf/store/interface.py
+++ b/irisshelf/store/interface.py
@@ -1,4 +1,4 @@
-"""The one entry point to the platform, whatever carries it."""
+"""Interface to the platform, independent of the transport."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class Platform(abc.ABC):
-    """Table service, object store and instance list.
+    """Table service, object store and node list.
 
-    Every call returns a value or an error; none raises for what the platform
-    does. An ``Unavailable`` write with ``Effect.UNKNOWN`` may have taken
-    effect: read back before deciding.
+    Failures of the platform are returned as errors, never raised. A write that
+    fails with ``Unavailable`` and ``Effect.UNKNOWN`` may have been applied:
+    callers must read the row back before they decide what to do.
     """
 
     @abc.abstractmethod
     def transact(
         self, writes: Sequence[messages.Write]
     ) -> result.Result[tuple[int, ...], errors.Conflict | errors.Unavailable]:
-        """Carries out all writes or none; returns the new versions."""
+        """Applies all writes atomically; returns the new row versions."""
 
     @abc.abstractmethod
     def read(
         self, key: str
     ) -> result.Result[messages.Row, errors.NotFound | errors.Unavailable]:
-        """Reads one row, seeing every earlier finished transaction."""
+        """Reads a row; all transactions completed earlier are visible."""
 
     @abc.abstractmethod
     def put_object(
@@ -47,8 +47,10 @@
     def nodes(
         self, *, since: int
     ) -> result.Result[messages.NodeChanges, errors.Unavailable]:
-        """Lists what changed of live and leaving nodes; the list lags.
+        """Returns changes to the list of live and leaving nodes.
+
+        The list lags behind the actual state of the nodes.
 
         Args:
-            since: Version of the list that the caller has; 0 for none.
+            since: Version of the list known to the caller; 0 for none.
         """
--- a/irisshelf/store/messages.py
+++ b/irisshelf/store/messages.py
@@ -1,4 +1,4 @@
-"""Typed requests to and answers from the platform's services."""
+"""Requests to the platform's services and their answers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import enum
 from typing import Any
 
-ABSENT = 0  # Version that stands for "no such row" in a condition.
+ABSENT = 0  # Version that means "the row does not exist" in a condition.
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -16,9 +16,9 @@
     Attributes:
         key: The row's key.
         value: The row's new content, JSON.
-        if_version: Only if the row has this version; ``ABSENT`` if there must
-            be no row; None for no condition.
-        ttl_s: The table drops the row after this many seconds; None for never.
+        if_version: Version that the row must have; ``ABSENT`` if the row must
+            not exist; None for an unconditional write.
+        ttl_s: Seconds after which the table deletes the row; None for never.
     """
 
     key: str
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Row:
-    """A row of the table. Versions of a row only grow."""
+    """A row of the table. The version of a row only increases."""
 
     key: str
     value: Any
@@ -37,14 +37,14 @@
 
 
 class NodeRole(enum.StrEnum):
-    """What a listed node runs."""
+    """Kind of process that a listed node runs."""
 
     INSTANCE = "instance"
     BACKEND_SERVER = "backend_server"
 
 
 class NodeState(enum.StrEnum):
-    """Life of a node as the platform lists it, with a lag."""
+    """State of a node in the platform's list, which lags behind."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Node:
-    """One entry of the platform's list of live and leaving instances."""
+    """An entry of the platform's list of live and leaving nodes."""
 
     name: str
     role: NodeRole
@@ -66,14 +66,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NodeChanges:
-    """What changed in the list since a version.
+    """Changes to the node list since a version.
 
     Attributes:
-        version: The list's version now; ask from it next time.
-        whole: Whether ``changed`` is the whole list, as the version asked
-            from was not known.
-        changed: Entries that are new or differ.
-        removed: Names of entries that are gone.
+        version: Current version of the list; the start of the next request.
+        whole: Whether ``changed`` is the complete list, which is returned if
+            the platform does not know the requested version.
+        changed: Entries that were added or modified.
+        removed: Names of removed entries.
     """
 
     version: int
