--- a/irisshelf/bundle/__init__.py
+++ b/irisshelf/bundle/__init__.py
@@ -1,1 +1,1 @@
-"""Signed, versioned configuration of the fleet."""
+"""Signed and versioned configuration of the fleet."""
--- a/irisshelf/bundle/canonical.py
+++ b/irisshelf/bundle/canonical.py
@@ -1,9 +1,10 @@
-"""Canonical bytes of JSON documents, and bundles cut into sections.
+"""Canonical encoding of JSON documents and division of bundles into sections.
 
-A bundle at the size of letter 1 is some megabytes and changes 3,800 times a
-day, while an instance may spend 2 KB/s on control traffic. So a bundle is
-stored as sections, each under its digest, and an instance fetches only those
-that changed. Large maps are sharded by the hash of the name.
+A bundle of the specified fleet size is several megabytes long and changes 3,800
+times a day, while an instance may spend only 2 KB/s on control traffic. A
+bundle is therefore stored as sections, each under its digest, and an instance
+fetches only sections that changed. Large maps are sharded by the hash of the
+name.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def encode(document: Any) -> bytes:
-    """Encodes a document as its one canonical sequence of bytes.
+    """Encodes a document as canonical JSON.
 
     Example:
         >>> encode({"b": 1, "a": [2]})
@@ -41,30 +42,31 @@
     """Undoes ``compress``.
 
     Returns:
-        The bytes; None if they are damaged or over ``MAX_OBJECT_BYTES``: a
-        small object must not fill an instance's memory.
+        The decompressed bytes; None if they are damaged or longer than
+        ``MAX_OBJECT_BYTES``. The limit prevents a small object from exhausting
+        an instance's memory.
     """
-    inflate = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        found = inflate.decompress(data, MAX_OBJECT_BYTES)
+        content = decompressor.decompress(data, MAX_OBJECT_BYTES)
     except zlib.error:
         return None
-    return found if inflate.eof else None
+    return content if decompressor.eof else None
 
 
 def digest(data: bytes) -> str:
-    """Returns the SHA-256 of some bytes in hex."""
+    """Returns the SHA-256 digest of data in hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
 def split(document: Mapping[str, Any]) -> dict[str, bytes]:
-    """Cuts a bundle into named sections.
+    """Splits a bundle into named sections.
 
     Args:
         document: The bundle as decoded JSON.
 
     Returns:
-        Canonical bytes by section name; empty shards are left out.
+        Canonical bytes by section name; empty shards are omitted.
 
     See Also:
         join: the inverse.
@@ -72,7 +74,7 @@
     root = {k: v for k, v in document.items() if k not in SHARDED}
     number = root.pop("number", None)
     note = root.pop("note", "")
-    del number, note  # Both stand in the manifest, so the root rarely changes.
+    del number, note  # Kept in the manifest, so the root rarely changes.
     sections = {_ROOT: encode(root)}
     for field in SHARDED:
         shards: dict[int, dict[str, Any]] = {}
@@ -86,13 +88,13 @@
 def join(
     sections: Mapping[str, bytes], *, number: int, note: str
 ) -> dict[str, Any]:
-    """Puts a bundle together from its sections.
+    """Joins sections into a bundle.
 
     Raises:
         ValueError: A section is not JSON or there is no root section.
     """
     if _ROOT not in sections:
-        raise ValueError("sections hold no 'root'")
+        raise ValueError("bundle has no 'root' section")
     document = json.loads(sections[_ROOT])
     for field in SHARDED:
         document[field] = {}
@@ -107,5 +109,5 @@
 
 def shard_of(name: str) -> int:
     """Returns the shard, 0 to ``SHARDS - 1``, that a name belongs to."""
-    first = hashlib.blake2b(name.encode(), digest_size=2).digest()
-    return int.from_bytes(first, "big") % SHARDS
+    prefix = hashlib.blake2b(name.encode(), digest_size=2).digest()
+    return int.from_bytes(prefix, "big") % SHARDS
--- a/irisshelf/bundle/check.py
+++ b/irisshelf/bundle/check.py
@@ -1,6 +1,6 @@
-"""Checks JSON documents against a schema and explains every error at once.
+"""Validates JSON documents against a schema and reports all errors at once.
 
-Both bundles and the daemon's settings go through ``parse``.
+``parse`` is used for bundles and for the daemon's settings.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from irisshelf.bundle import errors
 
 _MAX_VALUE_CHARS = 80
-_M = TypeVar("_M", bound=pydantic.BaseModel)
+_ModelT = TypeVar("_ModelT", bound=pydantic.BaseModel)
 
 
 def parse(
-    text: str | bytes, *, model: type[_M]
-) -> result.Result[_M, errors.SchemaError]:
+    text: str | bytes, *, model: type[_ModelT]
+) -> result.Result[_ModelT, errors.SchemaError]:
     """Parses a JSON document into a model.
 
     Args:
         text: The document.
-        model: The pydantic model that it must match.
+        model: The pydantic model to validate against.
 
     Returns:
-        The model, or every field that is wrong.
+        The parsed model, or an error that lists all invalid fields.
 
     Example:
         >>> parse("{}", model=schema.Signers).is_err()
@@ -51,25 +51,25 @@
 
 
 def validate(
-    document: Any, *, model: type[_M]
-) -> result.Result[_M, errors.SchemaError]:
+    document: Any, *, model: type[_ModelT]
+) -> result.Result[_ModelT, errors.SchemaError]:
     """Validates a decoded JSON document.
 
     Args:
-        document: What ``json.loads`` gave.
-        model: The pydantic model that it must match.
+        document: The result of ``json.loads``.
+        model: The pydantic model to validate against.
 
     Returns:
-        The model, or every field that is wrong.
+        The validated model, or an error that lists all invalid fields.
 
     See Also:
-        parse: the same from text.
+        parse: parses and validates JSON text.
     """
     try:
         return result.Ok(model.model_validate(document))
     except pydantic.ValidationError as exc:
-        found = tuple(_field_error(item, model) for item in exc.errors())
-        return result.Err(errors.SchemaError(fields=found))
+        fields = tuple(_field_error(item, model) for item in exc.errors())
+        return result.Err(errors.SchemaError(fields=fields))
 
 
 def _field_error(item: Any, model: type[pydantic.BaseModel]):
@@ -78,9 +78,9 @@
     if item["type"] == "extra_forbidden":
         known = _known_fields(model, loc[:-1])
         allowed = f"unknown field, allowed: {sorted(known)}"
-        near = difflib.get_close_matches(str(loc[-1]), known, n=1)
-        if near:
-            allowed = f"unknown field, did you mean {near[0]!r}?"
+        similar = difflib.get_close_matches(str(loc[-1]), known, n=1)
+        if similar:
+            allowed = f"unknown field, did you mean {similar[0]!r}?"
         return errors.FieldError(
             path=path, value=_shorten(item["input"]), allowed=allowed
         )
@@ -103,16 +103,16 @@
 
 
 def _known_fields(model: type[pydantic.BaseModel], loc: list[Any]) -> list[str]:
-    """Finds the fields of the object at a path inside a model."""
+    """Returns the field names of the object at a path in a model."""
     current: Any = model
     for part in loc:
-        current = _step(current, part)
+        current = _resolve_part(current, part)
     if isinstance(current, type) and issubclass(current, pydantic.BaseModel):
         return list(current.model_fields)
     return []
 
 
-def _step(current: Any, part: Any) -> Any:
+def _resolve_part(current: Any, part: Any) -> Any:
     if isinstance(current, type) and issubclass(current, pydantic.BaseModel):
         field = current.model_fields.get(str(part))
         return field.annotation if field else None
--- a/irisshelf/bundle/envelope.py
+++ b/irisshelf/bundle/envelope.py
@@ -1,4 +1,4 @@
-"""The signed envelope of a bundle: a manifest and its signatures."""
+"""Signed envelope of a bundle: the manifest and its signatures."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Manifest(pydantic.BaseModel):
-    """Names a bundle's number, note and sections by digest."""
+    """A bundle's number, its note and the digests of its sections."""
 
     model_config = pydantic.ConfigDict(frozen=True, extra="forbid")
 
@@ -31,7 +31,7 @@
 
 
 class Envelope(pydantic.BaseModel):
-    """A manifest with base64 signatures by signer's name."""
+    """A manifest and its base64 signatures, keyed by signer name."""
 
     model_config = pydantic.ConfigDict(frozen=True, extra="forbid")
 
@@ -40,7 +40,7 @@
 
 
 def create(bundle: schema.Bundle) -> tuple[Envelope, dict[str, bytes]]:
-    """Makes an unsigned envelope and the sections of a bundle."""
+    """Creates an unsigned envelope and the sections of a bundle."""
     sections = canonical.split(bundle.model_dump(mode="json"))
     digests = {name: canonical.digest(data) for name, data in sections.items()}
     manifest = Manifest(
@@ -52,49 +52,49 @@
     return Envelope(manifest=manifest), sections
 
 
-def encode(sealed: Envelope) -> bytes:
+def encode(envelope: Envelope) -> bytes:
     """Encodes an envelope as canonical bytes."""
-    return canonical.encode(sealed.model_dump())
+    return canonical.encode(envelope.model_dump())
 
 
-def object_key(sealed: Envelope) -> str:
-    """Returns the object store's key for an envelope."""
-    short = canonical.digest(encode(sealed))[:16]
-    return f"bundles/{sealed.manifest.number}-{short}"
+def object_key(envelope: Envelope) -> str:
+    """Returns the key of an envelope in the object store."""
+    short = canonical.digest(encode(envelope))[:16]
+    return f"bundles/{envelope.manifest.number}-{short}"
 
 
 def section_key(digest: str) -> str:
-    """Returns the object store's key for a section."""
+    """Returns the key of a section in the object store."""
     return SECTION_PREFIX + digest
 
 
 def assemble_bundle(
-    sealed: Envelope, sections: Mapping[str, bytes]
+    envelope: Envelope, sections: Mapping[str, bytes]
 ) -> result.Result[schema.Bundle, errors.SchemaError | errors.SignatureError]:
-    """Checks sections against a manifest and builds the bundle.
+    """Verifies sections against a manifest and assembles the bundle.
 
     Args:
-        sealed: The envelope; its signatures are checked elsewhere.
-        sections: The bytes of each section by name.
+        envelope: The envelope; its signatures are not verified here.
+        sections: The bytes of the sections, keyed by section name.
 
     Returns:
-        The bundle, or the digest or schema error that stops it.
+        The bundle, or why the sections do not form a valid bundle.
 
     See Also:
-        signing.verify: checks the signatures.
+        signing.verify: verifies the signatures.
     """
-    for name, digest in sealed.manifest.sections.items():
+    for name, digest in envelope.manifest.sections.items():
         if canonical.digest(sections.get(name, b"")) != digest:
             return result.Err(
                 errors.SignatureError(
                     problem=errors.SignatureProblem.DIGEST,
-                    detail=f"section {name!r} is missing or altered",
+                    detail=f"section {name!r} is missing or has another digest",
                 )
             )
-    listed = {name: sections[name] for name in sealed.manifest.sections}
+    listed = {name: sections[name] for name in envelope.manifest.sections}
     try:
         document: Any = canonical.join(
-            listed, number=sealed.manifest.number, note=sealed.manifest.note
+            listed, number=envelope.manifest.number, note=envelope.manifest.note
         )
     except (ValueError, AttributeError) as exc:
         return result.Err(
--- a/irisshelf/bundle/errors.py
+++ b/irisshelf/bundle/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the bundle layer."""
+"""Errors found when bundles are validated."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FieldError:
-    """One field that is wrong: its path, the value got, what is allowed."""
+    """An invalid field: its path, its value and what is allowed."""
 
     path: str
     value: str
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SchemaError:
-    """All the fields of one document that are wrong."""
+    """All invalid fields of a document."""
 
     fields: tuple[FieldError, ...]
 
@@ -29,7 +29,7 @@
 
 
 class SignatureProblem(enum.StrEnum):
-    """Why the signatures of a bundle do not suffice."""
+    """Why a bundle could not be verified."""
 
     TOO_FEW = "too_few_valid_signatures"
     DIGEST = "content_does_not_match_manifest"
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SignatureError:
-    """A bundle whose signatures do not make it valid."""
+    """A bundle that could not be verified against its signed manifest."""
 
     problem: SignatureProblem
     detail: str
--- a/irisshelf/bundle/schema.py
+++ b/irisshelf/bundle/schema.py
@@ -1,7 +1,7 @@
-"""Schema of a bundle, the fleet's whole configuration.
+"""Schema of a bundle, the complete configuration of the fleet.
 
-A bundle is one JSON document. Every model here is frozen and refuses unknown
-fields. See ``check.parse`` for the way errors are reported.
+A bundle is a JSON document. All models are frozen and reject unknown fields.
+See ``check.parse`` for how errors are reported.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What stands behind a service."""
+    """Type of backend servers that a service has."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Priority(enum.StrEnum):
-    """Order in which waiting requests of different teams go first."""
+    """Priority of a team's queued requests over those of other teams."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -44,11 +44,11 @@
 
 
 class WithoutPlatform(enum.StrEnum):
-    """What to do with a call that may not be repeated and cannot be claimed.
+    """How to handle a non-repeatable call while it cannot be claimed.
 
     ``REFUSE`` answers ``not_run``. ``RUN_UNCLAIMED`` sends the call once from
-    this instance without a claim: the same key that arrives at a second
-    instance meanwhile may then run a second time.
+    this instance without a claim. A request with the same key that arrives at
+    another instance in the meantime may then run a second time.
     """
 
     REFUSE = "refuse"
@@ -56,7 +56,7 @@
 
 
 class Signers(_Model):
-    """Who may sign the next bundle."""
+    """Keys that may sign the next bundle, and how many must sign it."""
 
     required: int = pydantic.Field(1, ge=1, le=16)
     keys: dict[Name, PublicKey] = pydantic.Field(min_length=1)
@@ -72,23 +72,24 @@
 
 
 class DataCentre(_Model):
-    """A data centre and the region whose data centres are near it."""
+    """A data centre; other data centres of its region are nearby."""
 
     region: Name
 
 
 class CallRule(_Model):
-    """Calls that may not be repeated: a method and a path prefix."""
+    """Matches non-repeatable calls by method and path prefix."""
 
     method: Annotated[str, pydantic.StringConstraints(pattern="^[A-Z]+$")]
     path: Annotated[str, pydantic.StringConstraints(pattern="^/")]
 
 
 class Timeouts(_Model):
-    """Limits on a call's time, each in seconds.
+    """Time-outs of a call in seconds.
 
-    ``idle_s`` is the longest silence of a backend server, ``queue_s`` the
-    longest wait before the first send, ``total_s`` the whole call.
+    ``idle_s`` is the maximum time without data from the backend server,
+    ``queue_s`` the maximum wait before the first send, and ``total_s`` the
+    maximum duration of the whole call.
     """
 
     connect_s: float = pydantic.Field(1.0, gt=0, le=60)
@@ -98,14 +99,14 @@
 
 
 class RetryBudget(_Model):
-    """Retries allowed as a share of first attempts, plus a small burst."""
+    """Retries allowed as a ratio of first attempts, plus a burst."""
 
     ratio: float = pydantic.Field(0.1, ge=0, le=1)
     burst: float = pydantic.Field(10.0, ge=0, le=1000)
 
 
 class Service(_Model):
-    """One service: a model that engines serve, or a plain service."""
+    """A service: a model served by engines, or a plain service."""
 
     kind: ServiceKind
     load_bound: float = pydantic.Field(1.25, ge=1.05, le=10)
@@ -119,7 +120,7 @@
 
 
 class BackendServer(_Model):
-    """A backend server: its service, place, address and engines."""
+    """A backend server: its service, data centre, address and engines."""
 
     service: Name
     data_centre: Name
@@ -137,7 +138,7 @@
 
 
 class Bundle(_Model):
-    """The fleet's whole configuration at one number."""
+    """The complete configuration of the fleet under a version number."""
 
     format: int = pydantic.Field(ge=FORMAT, le=FORMAT)
     number: int = pydantic.Field(ge=1, le=2**53)
@@ -158,23 +159,23 @@
 
 def _reference_problems(bundle: Bundle):
     for name, server in bundle.backend_servers.items():
-        where = f"backend_servers.{name}"
+        path = f"backend_servers.{name}"
         if server.service not in bundle.services:
             yield (
-                f"{where}.service is {server.service!r}, allowed:"
+                f"{path}.service is {server.service!r}, allowed:"
                 f" {sorted(bundle.services)}"
             )
             continue
         if server.data_centre not in bundle.data_centres:
             yield (
-                f"{where}.data_centre is {server.data_centre!r}, allowed:"
+                f"{path}.data_centre is {server.data_centre!r}, allowed:"
                 f" {sorted(bundle.data_centres)}"
             )
         is_model = bundle.services[server.service].kind is ServiceKind.MODEL
         if is_model and not server.engines:
-            yield f"{where}.engines is empty, allowed: one engine or more"
+            yield f"{path}.engines is empty, allowed: one engine or more"
         if len(set(server.engines)) != len(server.engines):
-            yield f"{where}.engines names an engine twice"
+            yield f"{path}.engines names an engine twice"
     owners: dict[str, str] = {}
     for name, team in bundle.teams.items():
         other = owners.setdefault(team.key_sha256, name)
@@ -183,7 +184,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Tells whether a text may be a name in a bundle.
+    """Returns whether a string is a valid name in a bundle.
 
     Example:
         >>> is_name("espoo-a")
--- a/irisshelf/bundle/signing.py
+++ b/irisshelf/bundle/signing.py
@@ -1,7 +1,7 @@
 """Ed25519 signatures over a bundle's manifest.
 
-The signed bytes are the canonical form of the manifest, which names every
-section by digest: to alter a section is to break the digest.
+The canonical form of the manifest is signed. The manifest holds the digest of
+every section, so an altered section no longer matches its digest.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def generate_key() -> bytes:
-    """Makes a private key, as unencrypted PEM."""
+    """Generates a private key as unencrypted PEM."""
     return ed25519.Ed25519PrivateKey.generate().private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
@@ -32,10 +32,10 @@
 
 
 def public_key(private_pem: bytes) -> str:
-    """Returns the public key, base64, of a private key in PEM.
+    """Returns the base64 public key of a PEM private key.
 
     Raises:
-        ValueError: The PEM holds no Ed25519 private key.
+        ValueError: The PEM does not contain an Ed25519 private key.
     """
     raw = _load(private_pem).public_key().public_bytes_raw()
     return base64.b64encode(raw).decode("ascii")
@@ -47,15 +47,15 @@
     """Adds a signature to an envelope.
 
     Args:
-        signed: The envelope so far.
+        signed: The envelope to sign, with any earlier signatures.
         name: The signer's name in the bundle.
         private_pem: The signer's private key.
 
     Returns:
-        A new envelope that also carries this signature.
+        A copy of the envelope with this signature added.
 
     Raises:
-        ValueError: The PEM holds no Ed25519 private key.
+        ValueError: The PEM does not contain an Ed25519 private key.
     """
     signature = _load(private_pem).sign(_message(signed.manifest))
     text = base64.b64encode(signature).decode("ascii")
@@ -68,16 +68,17 @@
 def verify(
     signed: envelope.Envelope, *, keys: Mapping[str, str], required: int
 ) -> result.Result[tuple[str, ...], errors.SignatureError]:
-    """Checks that enough entitled people signed a manifest.
+    """Checks that enough authorized signers signed a manifest.
 
     Args:
-        signed: The envelope to check.
-        keys: Entitled public keys, base64, by the signer's name.
-        required: How many of them must have signed. The same key under two
+        signed: The envelope to verify.
+        keys: Base64 public keys of authorized signers, keyed by signer name.
+        required: Number of keys that must have signed. A key listed under two
             names counts once.
 
     Returns:
-        The names of those who signed, or why the signatures do not suffice.
+        The names of the signers whose signatures are valid, or an error if
+        there are too few of them.
     """
     message = _message(signed.manifest)
     valid: dict[str, str] = {}
@@ -106,9 +107,11 @@
     try:
         key = serialization.load_pem_private_key(private_pem, password=None)
     except (TypeError, ValueError) as exc:
-        raise ValueError(f"no private key in PEM: {exc}") from exc
+        raise ValueError(f"cannot load private key from PEM: {exc}") from exc
     if not isinstance(key, ed25519.Ed25519PrivateKey):
-        raise ValueError(f"got a {type(key).__name__}, allowed: Ed25519")
+        raise ValueError(
+            f"unsupported key type {type(key).__name__}, allowed: Ed25519"
+        )
     return key
 
 
--- a/irisshelf/catalog/directory.py
+++ b/irisshelf/catalog/directory.py
@@ -1,21 +1,22 @@
-"""Which backend servers are there, by the store's list.
-
-A server may start again under the id that its entry bears. What is known of it
-belongs to one *life*: its id and the moment of its start. A later entry under
-the same id with another start names another life, which holds and has done
-nothing yet, and ends the one before. Which of two lives is the later one
-follows from the order in which the store took their entries and from nothing
-else: the time of day may jump between two starts, so that the later life may
-name the earlier moment.
-
-An entry that vanishes is taken at once as a server that left. The one
-exception: entries also lapse while the store is away. What is missing in the
-first list after such a time is kept as lapsed for ``LAPSE_GRACE_S``, since
-the entry of a live server comes back within about two seconds.
-
-A store that has come back from a copy lists servers as they were some seconds
-before. What an instance knew of an entry before holds on, and a life that has
-left stays gone, until the store says more than its copy did.
+"""Directory of backend servers, kept from the store's list.
+
+A server may be restarted under the same entry id. Its state belongs to one
+*incarnation*, identified by the entry id and the start time. A later entry
+under the same id with another start time is a new incarnation, which has an
+empty cache and no history, and which ends the previous one. Incarnations are
+ordered only by the order in which the store accepted their entries: wall-clock
+time may jump between two starts, so that a later incarnation may have an
+earlier start time.
+
+A server whose entry is removed has left and is dropped at once. The only
+exception is an outage of the store, during which entries of live servers also
+lapse. Entries missing from the first list after an outage are kept as lapsed
+for ``LAPSE_GRACE_S``, since a live server writes its entry again within about
+two seconds.
+
+A store restored from a backup lists servers as they were some seconds earlier.
+Until the store reports something newer than the backup, an instance keeps its
+own, newer entries, and incarnations that had left are not listed again.
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 import hashlib
 from collections.abc import Iterable
 
-# Entries of live servers are back about two seconds after the store's return
-# (the users' letter); a tenth more for the way.
+# Live servers are specified to write their entries again about two seconds
+# after the store recovers; 10 % is added for the transmission.
 LAPSE_GRACE_S = 2.2
-_KEY_BYTES = 5
-# Lives that have left and are remembered, the latest ones. A copy is seconds
-# old, in which few servers leave.
-_MOST_LEFT = 2000
+_SHORT_ID_BYTES = 5
+# Number of most recently departed incarnations that are remembered. A backup is
+# only seconds old, and few servers leave in that time.
+_MAX_DEPARTED = 2000
 
 
 class ServerState(enum.StrEnum):
-    """Life of a backend server as listed."""
+    """State of a backend server in the store's list."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -45,20 +46,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class BackendServer:
-    """One life of a backend server.
+    """One incarnation of a backend server.
 
     Attributes:
-        server_id: Names this life and no other, see ``incarnation_id``.
-        service: The service it belongs to.
-        address: Such as ``10.0.0.1:8080``; may be used again by another.
-        data_centre: Where it stands.
-        slots: Requests that it works on at a time.
-        state: As listed.
-        entry_id: The id in the list, which later lives may bear as well; that
-            of the life if none is named.
-        born_ms: Its start in Unix milliseconds, by its own clock; None if it
-            does not tell.
-        cold_s: How long it was to stay cold when its entry was written.
+        server_id: Identifies this incarnation; see ``incarnation_id``.
+        service: The service to which the server belongs.
+        address: IP address and port, such as ``10.0.0.1:8080``; another server
+            may reuse it later.
+        data_centre: The data centre in which the server runs.
+        slots: Number of requests that the server processes concurrently.
+        state: State in the list.
+        entry_id: Id of the entry, which later incarnations may share; defaults
+            to ``server_id``.
+        born_ms: Start time in Unix milliseconds by the server's own clock; None
+            if not reported.
+        cold_s: Remaining time for which the server was cold when its entry was
+            written.
     """
 
     server_id: str
@@ -78,14 +81,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """A changed entry; ``server`` is None if it vanished."""
+    """A changed entry; ``server`` is None if the entry was removed."""
 
     entry_id: str
     server: BackendServer | None
 
 
 def incarnation_id(entry_id: str, born_ms: int | None) -> str:
-    """Returns the name of one life of a server.
+    """Returns the id of an incarnation of a server.
 
     Example:
         >>> incarnation_id("i-7f3a", 1786503869131)
@@ -98,23 +101,25 @@
 
 @functools.lru_cache(maxsize=8192)
 def short_id(server_id: str) -> bytes:
-    """Returns the short name of a life, as instances tell it each other."""
-    return hashlib.blake2b(server_id.encode(), digest_size=_KEY_BYTES).digest()
+    """Returns the short server id used in messages between instances."""
+    return hashlib.blake2b(
+        server_id.encode(), digest_size=_SHORT_ID_BYTES
+    ).digest()
 
 
 class Directory:
-    """The list, kept up to date by changes and, after gaps, whole lists."""
+    """The list of servers, updated by changes and, after gaps, snapshots."""
 
     def __init__(self):
         self._servers: dict[str, BackendServer] = {}
         self._lapsed: dict[str, float] = {}
         self._by_service: dict[str, tuple[BackendServer, ...]] = {}
-        self._left: collections.OrderedDict[str, None] = (
+        self._departed: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
     def get(self, entry_id: str) -> BackendServer | None:
-        """Returns the life that is listed under an id."""
+        """Returns the incarnation listed under an entry id."""
         return self._servers.get(entry_id)
 
     def servers(self) -> tuple[BackendServer, ...]:
@@ -130,19 +135,19 @@
         )
 
     def servers_of(self, service: str) -> tuple[BackendServer, ...]:
-        """Returns the listed servers of a service, leaving ones as well."""
+        """Returns the listed servers of a service, including leaving ones."""
         return self._by_service.get(service, ())
 
     def apply(self, changes: Iterable[Change]) -> None:
-        """Takes changes seen while the store was well."""
+        """Applies changes received while the store was available."""
         for change in changes:
             self._lapsed.pop(change.entry_id, None)
             if change.server is None:
                 self._drop(change.entry_id)
             else:
                 self._servers[change.entry_id] = change.server
-                self._left.pop(change.server.server_id, None)
-        self._index()
+                self._departed.pop(change.server.server_id, None)
+        self._rebuild_index()
 
     def replace(
         self,
@@ -152,22 +157,22 @@
         after_outage: bool,
         restored: frozenset[str] = frozenset(),
     ) -> None:
-        """Takes a whole list.
+        """Replaces the list by a snapshot.
 
         Args:
             servers: All entries.
-            recovered_s: When the store came back, if it was away.
-            after_outage: Whether the store may have been away before, so that
-                missing entries may only have lapsed.
-            restored: Entries that tell no more than was known, as the store has
-                come back from a copy that is older.
+            recovered_s: Time at which the store recovered, after an outage.
+            after_outage: Whether the store may have been unavailable before,
+                so that missing entries may merely have lapsed.
+            restored: Ids of entries that come from a backup and are not newer
+                than what is already known.
         """
         listed = {
             server.entry_id: self._servers.get(server.entry_id, server)
             if server.entry_id in restored
             else server
             for server in servers
-            if not (server.entry_id in restored and self._has_left(server))
+            if not (server.entry_id in restored and self._has_departed(server))
         }
         missing = [name for name in self._servers if name not in listed]
         for name in missing:
@@ -175,61 +180,63 @@
                 listed[name] = self._servers[name]
                 self._lapsed.setdefault(name, recovered_s)
             else:
-                self._remember_left(self._servers[name])
+                self._record_departed(self._servers[name])
         for server in listed.values():
-            self._left.pop(server.server_id, None)
+            self._departed.pop(server.server_id, None)
         self._lapsed = {n: t for n, t in self._lapsed.items() if n in missing}
         self._servers = listed
-        self._index()
+        self._rebuild_index()
 
     def apply_after_outage(
         self, changes: Iterable[Change], *, recovered_s: float
     ) -> None:
-        """Takes changes told after an outage: vanished entries may be back.
+        """Applies changes received after an outage of the store.
 
-        Their time runs from the store's return, whenever they are missed.
+        Removed entries are kept as lapsed, since live servers may write them
+        again. Their grace period starts when the store recovers, not when the
+        removal is noticed.
         """
-        kept = []
+        remaining = []
         for change in changes:
             known = change.entry_id in self._servers
             if change.server is None and known:
                 self._lapsed.setdefault(change.entry_id, recovered_s)
             else:
-                kept.append(change)
-        self.apply(kept)
+                remaining.append(change)
+        self.apply(remaining)
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Drops entries that lapsed and did not come back; returns them."""
-        gone = tuple(
+        """Drops lapsed entries after the grace period and returns their ids."""
+        expired = tuple(
             name
             for name, since in self._lapsed.items()
             if now - since >= LAPSE_GRACE_S
         )
-        for name in gone:
+        for name in expired:
             del self._lapsed[name]
             self._drop(name)
-        if gone:
-            self._index()
-        return gone
+        if expired:
+            self._rebuild_index()
+        return expired
 
-    def _has_left(self, server: BackendServer) -> bool:
-        return server.server_id in self._left
+    def _has_departed(self, server: BackendServer) -> bool:
+        return server.server_id in self._departed
 
     def _drop(self, entry_id: str) -> None:
         server = self._servers.pop(entry_id, None)
         if server is not None:
-            self._remember_left(server)
+            self._record_departed(server)
 
-    def _remember_left(self, server: BackendServer) -> None:
-        self._left[server.server_id] = None
-        while len(self._left) > _MOST_LEFT:
-            self._left.popitem(last=False)
+    def _record_departed(self, server: BackendServer) -> None:
+        self._departed[server.server_id] = None
+        while len(self._departed) > _MAX_DEPARTED:
+            self._departed.popitem(last=False)
 
-    def _index(self) -> None:
-        found: dict[str, list[BackendServer]] = {}
+    def _rebuild_index(self) -> None:
+        by_service: dict[str, list[BackendServer]] = {}
         for server in self._servers.values():
-            found.setdefault(server.service, []).append(server)
+            by_service.setdefault(server.service, []).append(server)
         self._by_service = {
             name: tuple(sorted(group, key=lambda s: s.server_id))
-            for name, group in found.items()
+            for name, group in by_service.items()
         }
--- a/irisshelf/catalog/evacuations.py
+++ b/irisshelf/catalog/evacuations.py
@@ -1,10 +1,11 @@
-"""Data centres whose servers get nothing new, by the operators' rows.
-
-The operators evacuate a data centre by a row in the store and lift that by
-removing it. Words are ordered by their position in the store. When the store
-comes back from a copy, rows that were written since are missing until they are
-written again: what was evacuated stays so until the operators have written, or
-long enough for that has passed.
+"""Evacuated data centres, whose servers receive no new requests.
+
+Operators evacuate a data centre by writing a row to the store, and lift the
+evacuation by deleting the row. Updates are ordered by their position in the
+store. When the store is restored from a backup, rows written after the backup
+are missing until the operators write them again. A data centre that was
+evacuated therefore stays so for a while after the restore: for a short time
+once the operators have written something, and for a longer time otherwise.
 """
 
 from __future__ import annotations
@@ -15,21 +16,22 @@
 from irisshelf.catalog import directory
 from irisshelf.catalog import position as position_module
 
-# Servers of an evacuated data centre may be fetched from for this long: the
-# requests that come meanwhile bring the parts in use to their next servers, and
-# the operators allow more than as long again.
+# Time for which cached prompt parts may still be fetched from servers of an
+# evacuated data centre. Requests in this time copy the parts in use to the
+# servers that take over. Operators allow more than twice as long for an
+# evacuation.
 CACHE_FETCH_GRACE_S = 2.0
-# Operators who have lost rows write them again within seconds.
-_LONGEST_KEPT_S = 30.0
+# Operators write rows that were lost in a restore again within seconds.
+_MAX_RETENTION_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Evacuation:
-    """A row of the operators, or its removal.
+    """A row written by the operators, or its removal.
 
     Attributes:
-        data_centre: Which one.
-        in_force: Whether it is evacuated.
+        data_centre: The data centre.
+        in_force: Whether the data centre is evacuated.
     """
 
     data_centre: str
@@ -38,11 +40,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EvacuationChanges:
-    """What an answer or update changed.
+    """Changes to the evacuations by an answer, update or expiry.
 
     Attributes:
-        begun: Data centres that are evacuated from now on.
-        lifted: Those that are not any more.
+        begun: Data centres whose evacuation begins.
+        lifted: Data centres whose evacuation ends.
     """
 
     begun: frozenset[str] = frozenset()
@@ -53,26 +55,27 @@
 
 
 class Evacuations:
-    """Which data centres are evacuated."""
+    """The set of evacuated data centres."""
 
     def __init__(self):
         self._since_s: dict[str, float] = {}
         self._names: frozenset[str] = frozenset()
         self._position: position_module.Position | None = None
-        # Of an earlier era, with when each is lifted if nobody writes it again.
-        self._kept_until_s: dict[str, float] = {}
+        # Evacuations of an earlier era that the restored store lacks, with the
+        # time at which each is lifted unless it is written again.
+        self._retained_until_s: dict[str, float] = {}
 
     def active(self) -> frozenset[str]:
         """Returns the evacuated data centres."""
         return self._names
 
     def allows_cache_fetch(self, data_centre: str, now: float) -> bool:
-        """Tells whether a data centre's servers may still be fetched from."""
+        """Returns whether cached parts may be fetched from a data centre."""
         since_s = self._since_s.get(data_centre)
         return since_s is None or now - since_s < CACHE_FETCH_GRACE_S
 
     def latest_duration_s(self, now: float) -> float:
-        """Returns how long the latest evacuation has lasted."""
+        """Returns the time since the most recent evacuation began."""
         return now - max(self._since_s.values(), default=now)
 
     def replace(
@@ -81,11 +84,12 @@
         position: position_module.Position,
         now: float,
     ) -> EvacuationChanges:
-        """Takes all evacuations as of a position.
+        """Replaces the evacuations by a snapshot.
 
         Args:
             names: The evacuated data centres.
-            position: Of the rows; an earlier one is dropped.
+            position: Position of the snapshot; a snapshot older than the
+                current position is ignored.
             now: Time in seconds.
         """
         known = self._position
@@ -94,12 +98,12 @@
         self._position = position
         listed = frozenset(names)
         if known is not None and position.era > known.era:
-            until_s = now + _LONGEST_KEPT_S
+            until_s = now + _MAX_RETENTION_S
             missing = self._since_s.keys() - listed
-            self._kept_until_s = dict.fromkeys(missing, until_s)
-        for name in listed & self._kept_until_s.keys():
-            del self._kept_until_s[name]
-        return self._set(listed | self._kept_until_s.keys(), now)
+            self._retained_until_s = dict.fromkeys(missing, until_s)
+        for name in listed & self._retained_until_s.keys():
+            del self._retained_until_s[name]
+        return self._set(listed | self._retained_until_s.keys(), now)
 
     def apply(
         self,
@@ -107,13 +111,13 @@
         position: position_module.Position,
         now: float,
     ) -> EvacuationChanges:
-        """Takes rows that were written or removed, in their order."""
+        """Applies written and removed rows in the order of the store."""
         if self._position is not None and position < self._position:
             return EvacuationChanges()
         self._position = position
         names = set(self._since_s)
         for row in rows:
-            self._kept_until_s.pop(row.data_centre, None)
+            self._retained_until_s.pop(row.data_centre, None)
             if row.in_force:
                 names.add(row.data_centre)
             else:
@@ -121,22 +125,23 @@
         return self._set(names, now)
 
     def record_operator_write(self, now: float) -> None:
-        """Takes that the operators have written something in this era.
+        """Records that the operators have written a row in this era.
 
-        What else they lost is written again as soon as servers' entries are.
+        Operators write the other lost rows again as soon as servers write
+        their entries, so the same grace period applies.
         """
         until_s = now + directory.LAPSE_GRACE_S
-        self._kept_until_s = {
-            name: min(kept_s, until_s)
-            for name, kept_s in self._kept_until_s.items()
+        self._retained_until_s = {
+            name: min(deadline_s, until_s)
+            for name, deadline_s in self._retained_until_s.items()
         }
 
     def expire(self, now: float) -> EvacuationChanges:
-        """Lifts what an earlier era knew and nobody has written again."""
-        over = {n for n, t in self._kept_until_s.items() if now >= t}
-        for name in over:
-            del self._kept_until_s[name]
-        return self._set(self._since_s.keys() - over, now)
+        """Lifts evacuations of earlier eras that were not written again."""
+        expired = {n for n, t in self._retained_until_s.items() if now >= t}
+        for name in expired:
+            del self._retained_until_s[name]
+        return self._set(self._since_s.keys() - expired, now)
 
     def _set(self, names: Iterable[str], now: float) -> EvacuationChanges:
         after = frozenset(names)
--- a/irisshelf/tests/test_bundle.py
+++ b/irisshelf/tests/test_bundle.py
@@ -1,4 +1,4 @@
-"""Bundles: schema, sections, signatures."""
+"""Tests of the bundle schema, sections and signatures."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "path", "part"),
+    ("change", "path", "message"),
     [
         ({"numbr": 3}, "numbr", "did you mean 'number'"),
         ({"number": 0}, "number", "greater than or equal to 1"),
@@ -41,21 +41,21 @@
         ),
     ],
 )
-def test_an_error_names_path_value_and_what_is_allowed(change, path, part):
+def test_error_states_path_and_allowed_values(change, path, message):
     document = {**examples.bundle_document(), **change}
-    found = check.validate(document, model=schema.Bundle).unwrap_err()
-    (field,) = [f for f in found.fields if f.path == path]
-    assert part in field.allowed
+    error = check.validate(document, model=schema.Bundle).unwrap_err()
+    (field,) = [f for f in error.fields if f.path == path]
+    assert message in field.allowed
 
 
-def test_all_errors_are_shown_at_once():
+def test_all_errors_are_reported_at_once():
     document = {**examples.bundle_document(), "number": 0, "format": 9}
-    found = check.validate(document, model=schema.Bundle).unwrap_err()
-    assert {f.path for f in found.fields} == {"number", "format"}
+    error = check.validate(document, model=schema.Bundle).unwrap_err()
+    assert {f.path for f in error.fields} == {"number", "format"}
 
 
 @pytest.mark.parametrize(
-    ("server", "part"),
+    ("server", "message"),
     [
         ({"service": "nope"}, "service is 'nope'"),
         ({"data_centre": "nope"}, "data_centre is 'nope'"),
@@ -63,27 +63,27 @@
         ({"engines": ["e0", "e0"]}, "names an engine twice"),
     ],
 )
-def test_references_must_hold(server, part):
+def test_invalid_references_are_rejected(server, message):
     document = examples.bundle_document()
     servers = document["backend_servers"]
     servers["lm-0"] = {**servers["lm-0"], **server}
-    found = check.validate(document, model=schema.Bundle).unwrap_err()
-    assert part in str(found)
+    error = check.validate(document, model=schema.Bundle).unwrap_err()
+    assert message in str(error)
 
 
 @pytest.mark.parametrize("text", ["", "{", "[" * 100_000, "1", "null"])
-def test_what_is_no_bundle_is_refused(text):
+def test_invalid_documents_are_rejected(text):
     assert check.parse(text, model=schema.Bundle).is_err()
 
 
-def test_sections_join_to_the_same_bundle():
+def test_sections_are_assembled_to_the_same_bundle():
     bundle = examples.bundle(number=7)
-    sealed, sections = envelope.create(bundle)
-    assert envelope.assemble_bundle(sealed, sections).unwrap() == bundle
+    created, sections = envelope.create(bundle)
+    assert envelope.assemble_bundle(created, sections).unwrap() == bundle
 
 
 @pytest.mark.parametrize(
-    ("packed", "found"),
+    ("compressed", "expected"),
     [
         (canonical.compress(b"x" * 1000), b"x" * 1000),
         (canonical.compress(b""), b""),
@@ -92,11 +92,13 @@
         (canonical.compress(b"x" * (canonical.MAX_OBJECT_BYTES + 1)), None),
     ],
 )
-def test_objects_are_unpacked_whole_or_not_at_all(packed, found):
-    assert canonical.decompress(packed) == found
+def test_damaged_or_oversized_objects_are_not_decompressed(
+    compressed, expected
+):
+    assert canonical.decompress(compressed) == expected
 
 
-def test_a_small_change_changes_few_sections():
+def test_small_change_affects_one_section():
     document = examples.bundle_document()
     document["teams"] = {
         f"team-{i}": {"key_sha256": f"{i:064x}"} for i in range(2000)
@@ -118,42 +120,42 @@
         ((), 1, False),
     ],
 )
-def test_enough_entitled_people_must_sign(signers, required, valid):
-    sealed, _ = envelope.create(examples.bundle(number=1))
+def test_required_number_of_authorized_signers(signers, required, valid):
+    created, _ = envelope.create(examples.bundle(number=1))
     for name in signers:
-        sealed = signing.sign(
-            sealed, name=name, private_pem=examples.private_pem(name)
+        created = signing.sign(
+            created, name=name, private_pem=examples.private_pem(name)
         )
-    entitled = {n: examples.public_key(n) for n in ("anna", "bo")}
-    checked = signing.verify(sealed, keys=entitled, required=required)
+    authorized = {n: examples.public_key(n) for n in ("anna", "bo")}
+    checked = signing.verify(created, keys=authorized, required=required)
     assert checked.is_ok() == valid
 
 
-def test_one_key_under_two_names_counts_once():
-    sealed, _ = envelope.create(examples.bundle(number=1))
+def test_key_under_two_names_counts_once():
+    created, _ = envelope.create(examples.bundle(number=1))
     pem = examples.private_pem("anna")
     for name in ("anna", "bo"):
-        sealed = signing.sign(sealed, name=name, private_pem=pem)
+        created = signing.sign(created, name=name, private_pem=pem)
     key = examples.public_key("anna")
-    entitled = {"anna": key, "bo": key}
-    assert signing.verify(sealed, keys=entitled, required=2).is_err()
+    authorized = {"anna": key, "bo": key}
+    assert signing.verify(created, keys=authorized, required=2).is_err()
 
 
-@pytest.mark.parametrize("what", ["number", "section", "missing"])
-def test_an_altered_bundle_is_refused(what):
-    sealed, sections = envelope.create(examples.bundle(number=1))
-    sealed = signing.sign(
-        sealed, name="anna", private_pem=examples.private_pem("anna")
+@pytest.mark.parametrize("altered", ["number", "section", "missing"])
+def test_altered_bundle_is_rejected(altered):
+    created, sections = envelope.create(examples.bundle(number=1))
+    created = signing.sign(
+        created, name="anna", private_pem=examples.private_pem("anna")
     )
-    entitled = {"anna": examples.public_key("anna")}
-    if what == "number":
-        manifest = sealed.manifest.model_copy(update={"number": 2})
-        sealed = sealed.model_copy(update={"manifest": manifest})
-        assert signing.verify(sealed, keys=entitled, required=1).is_err()
+    authorized = {"anna": examples.public_key("anna")}
+    if altered == "number":
+        manifest = created.manifest.model_copy(update={"number": 2})
+        created = created.model_copy(update={"manifest": manifest})
+        assert signing.verify(created, keys=authorized, required=1).is_err()
         return
     root = json.loads(sections["root"])
     root["services"]["lm"]["load_bound"] = 9.0
     sections["root"] = canonical.encode(root)
-    if what == "missing":
+    if altered == "missing":
         del sections["root"]
-    assert envelope.assemble_bundle(sealed, sections).is_err()
+    assert envelope.assemble_bundle(created, sections).is_err()
--- a/irisshelf/tests/test_catalog.py
+++ b/irisshelf/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Routes, server list, freshness: plain decisions on what operators wrote."""
+"""Tests of route lookup, the server directory and the freshness bound."""
 
 import json
 
@@ -31,13 +31,13 @@
         ("/a/", "/a/"),
     ],
 )
-def test_the_longest_prefix_wins(path, expected):
-    found = _catalog("/a/", "/a/b/").route(world.HOST, path)
-    assert (found.path_prefix if found else None) == expected
+def test_longest_matching_prefix_is_selected(path, expected):
+    route = _catalog("/a/", "/a/b/").route(world.HOST, path)
+    assert (route.path_prefix if route else None) == expected
 
 
 @pytest.mark.parametrize(
-    ("host", "found"),
+    ("host", "matches"),
     [
         (world.HOST, True),
         (world.HOST.upper(), True),
@@ -45,8 +45,8 @@
         ("other", False),
     ],
 )
-def test_hosts_are_compared_as_names(host, found):
-    assert bool(_catalog("/a/").route(host, "/a/x")) is found
+def test_hosts_match_without_case_and_port(host, matches):
+    assert bool(_catalog("/a/").route(host, "/a/x")) is matches
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
         ("streaming", False, False),
     ],
 )
-def test_what_may_run_again(kind, resumable, repeatable):
+def test_repeatable_route_kinds(kind, resumable, repeatable):
     document = world.config(
         1, routes=[world.route("/a/", kind, "s", resumable=resumable)]
     )
@@ -75,14 +75,14 @@
         ({"limits": {"idleTimeoutMs": "x"}}, "limits.idleTimeoutMs"),
     ],
 )
-def test_unsound_configurations_name_the_field(change, field):
+def test_configuration_errors_name_the_field(change, field):
     data = json.dumps(world.config(1) | change).encode()
     with pytest.raises(ValueError) as caught:
         documents.catalog(data)
     assert field in str(caught.value)
 
 
-def test_times_are_in_seconds():
+def test_durations_are_converted_to_seconds():
     (route,) = _catalog("/a/").routes
     assert (
         route.timeout_s,
@@ -106,89 +106,98 @@
     )
 
 
-def _listed(names):
-    found = directory.Directory()
+def _directory_of(names):
+    listed = directory.Directory()
     servers = [_server(name) for name in names]
-    found.replace(servers, recovered_s=0.0, after_outage=False)
-    return found
+    listed.replace(servers, recovered_s=0.0, after_outage=False)
+    return listed
 
 
-def _names(found):
-    return [server.server_id for server in found.servers_of("s")]
+def _names(listed):
+    return [server.server_id for server in listed.servers_of("s")]
 
 
-def _gone(name):
+def _removal(name):
     return directory.Change(entry_id=name, server=None)
 
 
-def test_a_vanished_entry_is_gone_at_once():
-    found = _listed(["a", "b"])
-    found.apply([_gone("a")])
-    assert _names(found) == ["b"]
+def test_removed_entry_is_dropped_at_once():
+    listed = _directory_of(["a", "b"])
+    listed.apply([_removal("a")])
+    assert _names(listed) == ["b"]
 
 
 @pytest.mark.parametrize(
-    ("now", "left"),
+    ("now", "expected"),
     [
         (1.0, ["a", "b"]),
         (2.9, ["a", "b"]),
         (3.3, ["b"]),
     ],
 )
-@pytest.mark.parametrize("whole", [True, False])
-def test_entries_missing_after_an_outage_have_a_while_to_come_back(
-    whole, now, left
+@pytest.mark.parametrize("is_snapshot", [True, False])
+def test_entries_missing_after_an_outage_are_kept_for_a_grace_period(
+    is_snapshot, now, expected
 ):
-    found = _listed(["a", "b"])
-    if whole:
-        found.replace([_server("b")], recovered_s=1.0, after_outage=True)
+    listed = _directory_of(["a", "b"])
+    if is_snapshot:
+        listed.replace([_server("b")], recovered_s=1.0, after_outage=True)
     else:
-        found.apply_after_outage([_gone("a")], recovered_s=1.0)
-    found.expire(now)
-    assert _names(found) == left
+        listed.apply_after_outage([_removal("a")], recovered_s=1.0)
+    listed.expire(now)
+    assert _names(listed) == expected
 
 
-def test_an_entry_that_comes_back_stays():
-    found = _listed(["a", "b"])
-    found.apply_after_outage([_gone("a")], recovered_s=1.0)
-    found.apply([directory.Change(entry_id="a", server=_server("a"))])
-    assert found.expire(9.0) == ()
-    assert _names(found) == ["a", "b"]
+def test_entry_written_again_is_kept():
+    listed = _directory_of(["a", "b"])
+    listed.apply_after_outage([_removal("a")], recovered_s=1.0)
+    listed.apply([directory.Change(entry_id="a", server=_server("a"))])
+    assert listed.expire(9.0) == ()
+    assert _names(listed) == ["a", "b"]
 
 
-def test_a_second_outage_does_not_extend_a_lapse():
-    found = _listed(["a", "b"])
-    found.replace([_server("b")], recovered_s=1.0, after_outage=True)
-    found.replace([_server("b")], recovered_s=3.0, after_outage=True)
-    assert found.expire(3.3) == ("a",)
+def test_second_outage_does_not_extend_the_grace_period():
+    listed = _directory_of(["a", "b"])
+    listed.replace([_server("b")], recovered_s=1.0, after_outage=True)
+    listed.replace([_server("b")], recovered_s=3.0, after_outage=True)
+    assert listed.expire(3.3) == ("a",)
 
 
 @pytest.mark.parametrize(
     ("answers", "now", "age_s"),
     [
-        pytest.param([], 5.0, float("inf"), id="nothing-yet"),
-        pytest.param([(1.0, 1.2, 100.0)], 5.0, 4.0, id="as-old-as-the-send"),
+        pytest.param([], 5.0, float("inf"), id="no-answer"),
+        pytest.param([(1.0, 1.2, 100.0)], 5.0, 4.0, id="age-of-the-call"),
         pytest.param(
-            [(1.0, 1.0, 100.0), (2.0, 4.0, 103.0)], 5.0, 1.0, id="by-its-clock"
+            [(1.0, 1.0, 100.0), (2.0, 4.0, 103.0)],
+            5.0,
+            1.0,
+            id="age-by-store-clock",
         ),
         pytest.param(
-            [(1.0, 1.0, 100.0), (2.0, 4.0, 150.0)], 5.0, 1.0, id="never-future"
+            [(1.0, 1.0, 100.0), (2.0, 4.0, 150.0)],
+            5.0,
+            1.0,
+            id="store-clock-jumps-ahead",
         ),
         pytest.param(
-            [(1.0, 1.0, 100.0), (3.0, 3.0, 90.0)], 5.0, 2.0, id="clock-back"
+            [(1.0, 1.0, 100.0), (3.0, 3.0, 90.0)],
+            5.0,
+            2.0,
+            id="store-clock-goes-back",
         ),
     ],
 )
-def test_age_is_never_understated(answers, now, age_s):
-    fresh = freshness.Freshness()
+def test_age_is_an_upper_bound(answers, now, age_s):
+    bound = freshness.Freshness()
     for sent_s, received_s, store_s in answers:
-        fresh.record_answer(
+        bound.record_answer(
             sent_s=sent_s, received_s=received_s, store_s=store_s
         )
-    assert fresh.age_s(now) == pytest.approx(age_s)
+    assert bound.age_s(now) == pytest.approx(age_s)
 
 
-def test_a_catalog_without_teams_knows_no_key():
+def test_catalog_without_teams_accepts_no_key():
     catalog = model.Catalog(
         version=1,
         routes=(),
