--- a/irisshelf/bundle/check.py
+++ b/irisshelf/bundle/check.py
@@ -42,7 +42,9 @@
             errors.SchemaError(
                 fields=(
                     errors.FieldError(
-                        path="$", value="no JSON", allowed=f"JSON text: {exc}"
+                        path="$",
+                        value="invalid JSON",
+                        allowed=f"JSON text: {exc}",
                     ),
                 )
             )
