--- a/irisshelf/gateway/listener.py
+++ b/irisshelf/gateway/listener.py
@@ -122,7 +122,7 @@
             if conn.idle and conn is not newest:
                 conn.close_if_idle()
                 return
-        newest.turn_down()
+        newest.reject_over_limit()
 
 
 def _error_location(exc: BaseException) -> str:
--- a/irisshelf/gateway/requests/attempt.py
+++ b/irisshelf/gateway/requests/attempt.py
@@ -168,7 +168,7 @@
         if job.route.kind is model.RouteKind.UNSAFE:
             # It must run at most once, and a caller that disconnects does not
             # undo it: let it finish.
-            self._caller.detach_caller()
+            self._caller.ignore_disconnect()
         timeout_s = self._response_timeout_s(True)
         until_s = self._inst.now() + timeout_s
         try:
@@ -199,7 +199,7 @@
                     self._job.head.request_id,
                     belongs_to=head.request_id,
                 )
-                self._conn.skip_answer(timeout_s=until_s - self._inst.now())
+                self._conn.skip_response(timeout_s=until_s - self._inst.now())
         except errors.TransportError as exc:
             raise _transport_failure(exc, self._conn) from exc
 
@@ -292,7 +292,7 @@
 
     def _send_head(self, head: messages.AnswerHead) -> None:
         """Sends the head of the first server that responds, once."""
-        if not self._caller.began:
+        if not self._caller.response_started:
             self._record_first_byte()
             self._caller.begin(head.status, list(head.headers))
 
@@ -332,11 +332,11 @@
         conn: The connection, if nothing of a response has arrived yet: an idle
             connection that the server closed may then be the cause.
     """
-    if isinstance(exc, errors.OutOfReachError):
+    if isinstance(exc, errors.UnreachableError):
         return _unknown_outcome(server_stats.Outcome.UNREACHABLE, str(exc))
-    if isinstance(exc, errors.SilentError):
+    if isinstance(exc, errors.PeerTimeoutError):
         return _unknown_outcome(server_stats.Outcome.SILENT, str(exc))
-    stale = conn is not None and conn.rested_s >= _STALE_AFTER_IDLE_S
+    stale = conn is not None and conn.idle_s >= _STALE_AFTER_IDLE_S
     return _unknown_outcome(
         server_stats.Outcome.BROKEN,
         str(exc),
--- a/irisshelf/gateway/requests/frontend.py
+++ b/irisshelf/gateway/requests/frontend.py
@@ -71,7 +71,7 @@
             body=request.body,
             has_body=request.has_body,
             arrived_s=request.arrived_s,
-            kept=request.kept,
+            kept=request.connection_reused,
         )
         if self._inst.stopping:
             conn.close_after_answer()
@@ -92,7 +92,7 @@
         ended = "failed_inside"
         try:
             ended = handler.run()
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             ended = "caller_left"
             raise
         except OSError:
--- a/irisshelf/gateway/requests/monitored_connection.py
+++ b/irisshelf/gateway/requests/monitored_connection.py
@@ -51,7 +51,7 @@
         """Waits for a response head; see ``client.Connection.read_head``.
 
         Raises:
-            errors.OutOfReachError: The server is silent and unreachable.
+            errors.UnreachableError: The server is silent and unreachable.
         """
         return self._read(
             lambda wait_s: self._conn.read_head(timeout_s=wait_s), until_s
@@ -61,7 +61,7 @@
         """Waits for more body data; see ``client.Connection.read_data``.
 
         Raises:
-            errors.OutOfReachError: The server is silent and unreachable.
+            errors.UnreachableError: The server is silent and unreachable.
         """
         return self._read(
             lambda wait_s: self._conn.read_data(timeout_s=wait_s), until_s
@@ -75,7 +75,7 @@
             remaining_s = until_s - self._inst.now()
             try:
                 data = read(min(wait_s, remaining_s))
-            except errors.SilentError:
+            except errors.PeerTimeoutError:
                 if remaining_s <= wait_s:
                     if until_s >= self._deadline_s or self._fail_over():
                         raise
@@ -99,7 +99,7 @@
         """Probes a silent server and raises if it is unreachable.
 
         Raises:
-            errors.OutOfReachError: It is unreachable, and another server takes
+            errors.UnreachableError: It is unreachable, and another server takes
                 over the request.
         """
         self._inst.servers.prober.probe_if_silent(self._server)
@@ -107,4 +107,4 @@
             self._inst.servers.is_unreachable(self._server)
             and self._fail_over()
         ):
-            raise errors.OutOfReachError("server is silent and unreachable")
+            raise errors.UnreachableError("server is silent and unreachable")
--- a/irisshelf/gateway/requests/request_handler.py
+++ b/irisshelf/gateway/requests/request_handler.py
@@ -101,7 +101,7 @@
         self, choice: server_choice.Choice, conn: client.Connection
     ) -> str:
         server = choice.server
-        self._log_send(choice, conn.rested_s)
+        self._log_send(choice, conn.idle_s)
         self._sends.count += 1
         self._events_before_send = self._progress.events
         self._inst.servers.record_sent_prompt(server, self._job.head.prompt)
@@ -184,7 +184,7 @@
     def _give_up(self, why: str) -> str:
         """Sends the final response to a request that is not served."""
         request = self._job.head.request_id
-        if self._caller.began:
+        if self._caller.response_started:
             self._caller.abort()
             return f"cut_{why}"
         response = self._sends.last_response
--- a/irisshelf/gateway/servers/connection_pool.py
+++ b/irisshelf/gateway/servers/connection_pool.py
@@ -51,7 +51,7 @@
                 idle_conns.append(idle)
                 return None
             if now < idle.until_s and not idle.conn.is_stale():
-                idle.conn.rested_s = now - idle.since_s
+                idle.conn.idle_s = now - idle.since_s
                 return idle.conn
             idle.conn.close()
         return None
@@ -82,7 +82,7 @@
             != server.server_id
         ]
         for conn in replaced:
-            conn.break_off()
+            conn.shutdown()
         return len(replaced)
 
     def release(
--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -265,7 +265,7 @@
             )
         except errors.ConnectError as exc:
             self._servers.record_unreachable(server, exc, "")
-            return not exc.silent
+            return not exc.timed_out
         self._servers.connection_pool.add_idle(server, conn)
         return False
 
--- a/irisshelf/gateway/servers/reachability.py
+++ b/irisshelf/gateway/servers/reachability.py
@@ -164,7 +164,7 @@
         except errors.ConnectError as exc:
             elapsed_s = self._now() - started_s
             if (
-                not exc.silent
+                not exc.timed_out
                 or elapsed_s <= _PROBE_TIMEOUT_S + _MAX_SCHEDULING_DELAY_S
             ):
                 self._on_unreachable(server, exc)
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -294,9 +294,9 @@
         """Records a failed connection attempt and starts probing."""
         outcome = server_stats.Outcome.UNREACHABLE
         self.record_observation(server, outcome, request, str(exc))
-        if not exc.silent:
+        if not exc.timed_out:
             self._exited_s.setdefault(server.server_id, self._now())
-        self.prober.start_probing(server, silent=exc.silent)
+        self.prober.start_probing(server, silent=exc.timed_out)
 
     def close_suspect_connections(
         self, server: directory.BackendServer, silent_since_s: float
--- a/irisshelf/tests/test_reachability.py
+++ b/irisshelf/tests/test_reachability.py
@@ -64,14 +64,14 @@
         self.after_attempts.get(len(self.attempts), lambda: None)()
         self.clock.advance(self.delay_s)
         if name in self.unresponsive:
-            raise errors.ConnectError(address, silent=self.silent)
+            raise errors.ConnectError(address, timed_out=self.silent)
         near, far = socket.socketpair()
         self.peers.append(far)
         return client.Connection(sock=near, address=address)
 
     def _on_unreachable(self, server, exc):
         self.unreachable.append(server.server_id)
-        self.prober.start_probing(server, silent=exc.silent)
+        self.prober.start_probing(server, silent=exc.timed_out)
 
     def _sleep(self, seconds):
         self.clock.advance(seconds)
--- a/irisshelf/tests/test_saturated_link.py
+++ b/irisshelf/tests/test_saturated_link.py
@@ -27,7 +27,7 @@
 
     def connect(address, *, timeout_s):
         gevent.sleep(timeout_s)
-        raise errors.ConnectError(f"{address}: timed out", silent=True)
+        raise errors.ConnectError(f"{address}: timed out", timed_out=True)
 
     def saturate():
         monkeypatch.setattr(client, "connect", connect)
--- a/irisshelf/tests/test_silent_connections.py
+++ b/irisshelf/tests/test_silent_connections.py
@@ -19,7 +19,7 @@
 
 class _Conn:
     reusable = True
-    rested_s = 0.0
+    idle_s = 0.0
     closed = False
 
     def close(self):
--- a/irisshelf/tests/test_transport.py
+++ b/irisshelf/tests/test_transport.py
@@ -38,7 +38,7 @@
     with pytest.raises(errors.ConnectError) as caught:
         for _ in range(5):
             held.append(client.connect(address, timeout_s=0.05))
-    assert caught.value.silent is silent
+    assert caught.value.timed_out is silent
     peer.close()
 
 
@@ -74,7 +74,7 @@
     address = f"127.0.0.1:{listener.server_port}"
     conn = client.connect(address, timeout_s=5.0)
     conn.send("GET", "/", [(b"Host", b"x")], b"", timeout_s=5.0)
-    with pytest.raises(errors.SilentError):
+    with pytest.raises(errors.PeerTimeoutError):
         conn.read_head(timeout_s=late_s)
     gevent.sleep(0.1)
     assert conn.read_head(timeout_s=late_s)[0] == 200
--- a/irisshelf/tests/test_untrusted_input.py
+++ b/irisshelf/tests/test_untrusted_input.py
@@ -189,7 +189,7 @@
     world.wait(lambda: world.inst.directory.get("foreign") is not None)
     for server in world.inst.directory.servers():
         if server.service != "not-ours":
-            lost = errors.ConnectError("gone", silent=False)
+            lost = errors.ConnectError("gone", timed_out=False)
             world.inst.servers.record_unreachable(server, lost, "r1")
     assert world.inst.isolated
     assert not world.inst.ready
--- a/irisshelf/transport/client.py
+++ b/irisshelf/transport/client.py
@@ -35,7 +35,7 @@
         address: Of the server.
 
     Attributes:
-        rested_s: How long it had been at rest before its latest use.
+        idle_s: How long it had been at rest before its latest use.
     """
 
     def __init__(self, *, sock: socket.socket, address: str):
@@ -46,7 +46,7 @@
         self._writer: gevent.Greenlet | None = None
         self._write_failed = False
         self._open = True
-        self.rested_s = 0.0
+        self.idle_s = 0.0
 
     @property
     def reusable(self) -> bool:
@@ -79,8 +79,8 @@
         """Sends a request.
 
         Raises:
-            errors.BrokenError: The connection broke.
-            errors.SilentError: The server does not read.
+            errors.BrokenConnectionError: The connection broke.
+            errors.PeerTimeoutError: The server does not read.
         """
         self._http = _parser()
         self._request = [
@@ -99,9 +99,9 @@
             self._sock.settimeout(max(0.001, timeout_s))
             self._sock.sendall(data)
         except TimeoutError as exc:
-            raise errors.SilentError("the server does not read") from exc
+            raise errors.PeerTimeoutError("the server does not read") from exc
         except OSError as exc:
-            raise errors.BrokenError(f"while sending: {exc}") from exc
+            raise errors.BrokenConnectionError(f"while sending: {exc}") from exc
 
     def read_head(self, *, timeout_s: float) -> tuple[int, Headers]:
         """Waits for an answer's head.
@@ -110,8 +110,8 @@
             The status and the headers, names as the server wrote them.
 
         Raises:
-            errors.BrokenError: The connection broke, or this is no HTTP.
-            errors.SilentError: Nothing came in time.
+            errors.BrokenConnectionError: The connection broke, or this is no HTTP.
+            errors.PeerTimeoutError: Nothing came in time.
         """
         until_s = boottime.now() + timeout_s
         while True:
@@ -119,23 +119,23 @@
             if isinstance(event, h11.Response):
                 return event.status_code, tuple(event.headers.raw_items())
             if isinstance(event, h11.ConnectionClosed):
-                raise errors.BrokenError("closed without an answer")
+                raise errors.BrokenConnectionError("closed without an answer")
 
     def read_data(self, *, timeout_s: float) -> bytes | None:
         """Waits for more of the body; None at its end.
 
         Raises:
-            errors.BrokenError: The answer is cut off.
-            errors.SilentError: Nothing came in time.
+            errors.BrokenConnectionError: The answer is cut off.
+            errors.PeerTimeoutError: Nothing came in time.
         """
         event = self._next(boottime.now() + timeout_s)
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise errors.BrokenError(f"{type(event).__name__} in a body")
+        raise errors.BrokenConnectionError(f"{type(event).__name__} in a body")
 
-    def skip_answer(self, *, timeout_s: float) -> None:
+    def skip_response(self, *, timeout_s: float) -> None:
         """Reads an answer that belongs to an earlier request to its end.
 
         Afterwards ``read_head`` waits for the answer proper.
@@ -145,7 +145,9 @@
             pass
         extra, closed = self._http.trailing_data
         if closed or self._http.their_state is not h11.DONE:
-            raise errors.BrokenError("closed after another request's answer")
+            raise errors.BrokenConnectionError(
+                "closed after another request's answer"
+            )
         self._http = _parser()
         self._arm()
         if extra:
@@ -155,7 +157,7 @@
         """Tells whether something has come that was not read yet."""
         return self._open and _is_ready(self._sock, select.POLLIN)
 
-    def break_off(self) -> None:
+    def shutdown(self) -> None:
         """Ends the connection under whoever waits on it.
 
         The waiter finds that the server closed it.
@@ -190,9 +192,11 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as exc:
-                raise errors.BrokenError(f"no HTTP: {exc}") from exc
+                raise errors.BrokenConnectionError(f"no HTTP: {exc}") from exc
             if event is h11.PAUSED:
-                raise errors.BrokenError("bytes after the answer's end")
+                raise errors.BrokenConnectionError(
+                    "bytes after the answer's end"
+                )
             if event is not h11.NEED_DATA:
                 return event
             self._receive(until_s)
@@ -213,22 +217,22 @@
 
     def _receive(self, until_s: float) -> None:
         if not self._open:
-            raise errors.BrokenError("closed by this end")
+            raise errors.BrokenConnectionError("closed by this end")
         left_s = until_s - boottime.now()
         # An answer that is there is read also late: a process that stood still
         # finds its time over and the answer waiting.
         if left_s <= 0 and not self.has_input():
-            raise errors.SilentError("no answer in time")
+            raise errors.PeerTimeoutError("no answer in time")
         try:
             data = self._recv(max(left_s, _LOOK_S))
         except TimeoutError as exc:
-            raise errors.SilentError("no answer in time") from exc
+            raise errors.PeerTimeoutError("no answer in time") from exc
         except OSError as exc:
-            raise errors.BrokenError(f"while reading: {exc}") from exc
+            raise errors.BrokenConnectionError(f"while reading: {exc}") from exc
         try:
             self._http.receive_data(data)
         except h11.RemoteProtocolError as exc:
-            raise errors.BrokenError(f"no HTTP: {exc}") from exc
+            raise errors.BrokenConnectionError(f"no HTTP: {exc}") from exc
 
 
 def connect(address: str, *, timeout_s: float) -> Connection:
@@ -246,7 +250,9 @@
     except TimeoutError as exc:
         if not _came_about(sock):
             sock.close()
-            raise errors.ConnectError(f"{address}: {exc}", silent=True) from exc
+            raise errors.ConnectError(
+                f"{address}: {exc}", timed_out=True
+            ) from exc
     except (OSError, ValueError) as exc:
         sock.close()
         raise errors.ConnectError(f"{address}: {exc}") from exc
--- a/irisshelf/transport/errors.py
+++ b/irisshelf/transport/errors.py
@@ -12,27 +12,27 @@
 
     Args:
         detail: For people.
-        silent: Whether the peer said nothing at all, rather than refuse.
+        timed_out: Whether the peer said nothing at all, rather than refuse.
     """
 
-    def __init__(self, detail: str, *, silent: bool = False):
+    def __init__(self, detail: str, *, timed_out: bool = False):
         super().__init__(detail)
-        self.silent = silent
+        self.timed_out = timed_out
 
 
-class BrokenError(TransportError):
+class BrokenConnectionError(TransportError):
     """The peer broke the connection, or sent what is no HTTP."""
 
 
-class SilentError(TransportError):
+class PeerTimeoutError(TransportError):
     """The peer sent nothing in time."""
 
 
-class OutOfReachError(TransportError):
+class UnreachableError(TransportError):
     """The peer is silent, and new connections to it do not come about."""
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection."""
 
 
--- a/irisshelf/transport/server.py
+++ b/irisshelf/transport/server.py
@@ -48,7 +48,7 @@
         body: The body, unframed.
         has_body: Whether a body was framed, though it may be empty.
         arrived_s: When the head was whole, monotonic seconds.
-        kept: Whether the connection had been used before.
+        connection_reused: Whether the connection had been used before.
     """
 
     method: str
@@ -57,7 +57,7 @@
     body: bytes
     has_body: bool
     arrived_s: float
-    kept: bool
+    connection_reused: bool
 
 
 class _Phase(enum.Enum):
@@ -107,7 +107,7 @@
         self._greenlet = gevent.getcurrent()
         self._watcher: gevent.Greenlet | None = None
         self._watching = False
-        self.began = False
+        self.response_started = False
 
     @property
     def idle(self) -> bool:
@@ -122,7 +122,7 @@
         try:
             while self._serve_one():
                 self._kept = True
-        except (OSError, errors.CallerGoneError, errors.CloseIdleError):
+        except (OSError, errors.CallerDisconnectedError, errors.CloseIdleError):
             # The caller left, or a planned stop closes what is at rest.
             pass
         except h11.LocalProtocolError:
@@ -132,7 +132,7 @@
             self._stop_watching()
             self._end()
 
-    def turn_down(self) -> None:
+    def reject_over_limit(self) -> None:
         """Answers the first request that it may not be served here."""
         self._handle = self._answer_full
 
@@ -182,7 +182,7 @@
         """Breaks the answer off, so that it cannot be taken for whole."""
         self._aborted = True
 
-    def detach_caller(self) -> None:
+    def ignore_disconnect(self) -> None:
         """From now on the work goes on though the caller leaves."""
         self._stop_watching()
 
@@ -213,12 +213,12 @@
         if self._ahead:
             self._http.receive_data(self._ahead)
             self._ahead = b""
-        self.began = False
+        self.response_started = False
         self._phase = _Phase.IDLE
         return True
 
     def _start(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        self.began = True
+        self.response_started = True
         if self._close_after:
             headers = [*headers, (b"Connection", b"close")]
         self._out = b""
@@ -256,7 +256,7 @@
             body=body,
             has_body=has_body,
             arrived_s=arrived_s,
-            kept=self._kept,
+            connection_reused=self._kept,
         )
 
     def _read_head(self, limits: Limits) -> h11.Request | None:
@@ -304,7 +304,7 @@
                     raise _BadRequestError(408, "the body stopped coming in")
                 self._feed(data)
             else:
-                raise errors.CallerGoneError
+                raise errors.CallerDisconnectedError
 
     def _feed(self, data: bytes) -> None:
         try:
@@ -353,7 +353,7 @@
         else:
             return
         if self._watching:
-            self._greenlet.kill(errors.CallerGoneError, block=False)
+            self._greenlet.kill(errors.CallerDisconnectedError, block=False)
 
     def _stop_watching(self) -> None:
         self._watching = False
@@ -371,7 +371,7 @@
                 self._sock.settimeout(_LINGER_S)
                 while self._sock.recv(_READ_BYTES):
                     pass
-        except (OSError, errors.CloseIdleError, errors.CallerGoneError):
+        except (OSError, errors.CloseIdleError, errors.CallerDisconnectedError):
             pass
         finally:
             self._sock.close()
