--- a/irisshelf/backends/dispatch.py
+++ b/irisshelf/backends/dispatch.py
@@ -22,7 +22,7 @@
 
 
 @functools.singledispatch
-def start(call: Any, *, clients: pool.Pool) -> result.Result:
+def start(call: Any, *, clients: pool.ClientPool) -> result.Result:
     """Starts a call; what comes back depends on the kind of call.
 
     Args:
@@ -61,7 +61,7 @@
         return result.Ok(
             client.request(method, path, body=body, headers=headers)
         )
-    except pool.BROKEN as exc:
+    except pool.TRANSPORT_ERRORS as exc:
         if getattr(exc, "errno", None) in _NOT_CONNECTED:
             return result.Err(_unreachable(exc))
         silent = isinstance(exc, TimeoutError)
@@ -80,7 +80,7 @@
     """Reads a whole answer."""
     try:
         return result.Ok(bytes(response.read()))
-    except pool.BROKEN as exc:
+    except pool.TRANSPORT_ERRORS as exc:
         return result.Err(
             errors.CallError(
                 outcome=outcome.Outcome.UNKNOWN,
@@ -90,20 +90,20 @@
         )
 
 
-def refusal(response: Any) -> errors.CallError:
+def error_from_response(response: Any) -> errors.CallError:
     """Turns an answer other than success into our error.
 
     Only the server's header ``X-Not-Run`` says that the call did not run.
     """
     not_run = response.get(messages.Header.NOT_RUN.value) is not None
-    leaving = response.get(messages.Header.DRAINING.value) is not None
+    draining = response.get(messages.Header.DRAINING.value) is not None
     detail = read_all(response).unwrap_or(b"")[:200]
     return errors.CallError(
         outcome=(
             outcome.Outcome.NOT_RUN if not_run else outcome.Outcome.UNKNOWN
         ),
         cause=outcome.Cause.REFUSED,
-        leaving=leaving,
+        draining=draining,
         detail=f"status {response.status_code}: {detail!r}",
     )
 
@@ -113,10 +113,10 @@
     try:
         return result.Ok(json.loads(data))
     except (ValueError, RecursionError) as exc:
-        return result.Err(garbled(f"no JSON: {exc}"))
+        return result.Err(malformed_response(f"no JSON: {exc}"))
 
 
-def garbled(detail: str) -> errors.CallError:
+def malformed_response(detail: str) -> errors.CallError:
     """Makes the error for an answer that makes no sense."""
     return errors.CallError(
         outcome=outcome.Outcome.UNKNOWN,
--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -25,7 +25,7 @@
 
 @dispatch.start.register
 def _start_engine_call(
-    call: messages.EngineCall, *, clients: pool.Pool
+    call: messages.EngineCall, *, clients: pool.ClientPool
 ) -> result.Result[engine_stream.EngineStream, errors.CallError]:
     headers = {
         messages.Header.ATTEMPT_ID.value: call.attempt_id,
@@ -46,7 +46,7 @@
 
 @dispatch.start.register
 def _start_resume(
-    call: messages.ResumeCall, *, clients: pool.Pool
+    call: messages.ResumeCall, *, clients: pool.ClientPool
 ) -> result.Result[engine_stream.EngineStream, errors.CallError]:
     headers = {
         messages.Header.ATTEMPT_ID.value: call.attempt_id,
@@ -77,7 +77,7 @@
 
 
 def _open(
-    clients: pool.Pool,
+    clients: pool.ClientPool,
     address: str,
     limits: messages.Limits,
     send: Any,
@@ -91,19 +91,19 @@
         return sent
     response = sent.ok_value
     if response.status_code != _OK:
-        return result.Err(dispatch.refusal(response))
+        return result.Err(dispatch.error_from_response(response))
     return result.Ok(
         engine_stream.EngineStream(
             response=response,
             checker=checker,
             generation=response.get(messages.Header.GENERATION.value) or "",
-            head=engine_stream.head_of(response),
+            head=engine_stream.parse_head(response),
         )
     )
 
 
 def cancel(
-    clients: pool.Pool, call: messages.CancelCall
+    clients: pool.ClientPool, call: messages.CancelCall
 ) -> result.Result[None, errors.CallError]:
     """Tells an engine that nobody waits for an attempt any more."""
     client = clients.client(
@@ -115,13 +115,13 @@
     return dispatch.read_all(sent.ok_value).map(lambda _: None)
 
 
-def report(
-    clients: pool.Pool,
+def fetch_load_report(
+    clients: pool.ClientPool,
     address: str,
     *,
     timeout_s: float,
     count: traffic.Count,
-) -> result.Result[messages.ServerReport, errors.CallError]:
+) -> result.Result[messages.ServerLoadReport, errors.CallError]:
     """Asks a backend server for its engines' load.
 
     Args:
@@ -139,8 +139,8 @@
     return answer.and_then(_decode_report)
 
 
-def cache_events(
-    clients: pool.Pool,
+def fetch_cache_events(
+    clients: pool.ClientPool,
     address: str,
     *,
     engine: str,
@@ -153,8 +153,8 @@
     return answer.and_then(_decode_events)
 
 
-def order(
-    clients: pool.Pool,
+def send_order(
+    clients: pool.ClientPool,
     address: str,
     *,
     engine: str,
@@ -176,12 +176,17 @@
     if isinstance(sent, result.Err):
         return sent
     if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
+        return result.Err(dispatch.error_from_response(sent.ok_value))
     return dispatch.read_all(sent.ok_value).map(lambda _: None)
 
 
 def export_kv(
-    clients: pool.Pool, address: str, *, engine: str, key: str, timeout_s: float
+    clients: pool.ClientPool,
+    address: str,
+    *,
+    engine: str,
+    key: str,
+    timeout_s: float,
 ) -> result.Result[bytes, errors.CallError]:
     """Fetches a cached prefix from an engine."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
@@ -189,12 +194,12 @@
     if isinstance(sent, result.Err):
         return sent
     if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
+        return result.Err(dispatch.error_from_response(sent.ok_value))
     return dispatch.read_all(sent.ok_value)
 
 
 def import_kv(
-    clients: pool.Pool,
+    clients: pool.ClientPool,
     address: str,
     *,
     engine: str,
@@ -208,7 +213,7 @@
     if isinstance(sent, result.Err):
         return sent
     if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
+        return result.Err(dispatch.error_from_response(sent.ok_value))
     return dispatch.read_all(sent.ok_value).map(lambda _: None)
 
 
@@ -225,7 +230,7 @@
 
 
 def _get_json(
-    clients: pool.Pool,
+    clients: pool.ClientPool,
     address: str,
     path: str,
     *,
@@ -237,7 +242,7 @@
     if isinstance(sent, result.Err):
         return sent
     if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
+        return result.Err(dispatch.error_from_response(sent.ok_value))
     content = dispatch.read_all(sent.ok_value)
     if count is not None:
         size = traffic.of_exchange(
@@ -249,7 +254,7 @@
 
 def _decode_report(
     document: Any,
-) -> result.Result[messages.ServerReport, errors.CallError]:
+) -> result.Result[messages.ServerLoadReport, errors.CallError]:
     try:
         engines = {
             str(name): messages.EngineLoad(
@@ -259,10 +264,12 @@
             )
             for name, load in document["engines"].items()
         }
-        leaving = bool(document["draining"])
+        draining = bool(document["draining"])
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        return result.Err(dispatch.garbled(f"load report: {exc!r}"))
-    return result.Ok(messages.ServerReport(leaving=leaving, engines=engines))
+        return result.Err(dispatch.malformed_response(f"load report: {exc!r}"))
+    return result.Ok(
+        messages.ServerLoadReport(draining=draining, engines=engines)
+    )
 
 
 def _decode_events(
@@ -276,5 +283,5 @@
             evicted=tuple(map(str, document["evicted"])),
         )
     except (KeyError, TypeError, ValueError) as exc:
-        return result.Err(dispatch.garbled(f"cache events: {exc!r}"))
+        return result.Err(dispatch.malformed_response(f"cache events: {exc!r}"))
     return result.Ok(events)
--- a/irisshelf/backends/engine_stream.py
+++ b/irisshelf/backends/engine_stream.py
@@ -103,7 +103,7 @@
     def _next_event(self) -> bytes:
         try:
             event = bytes(self._response.readline(EVENT_END))
-        except pool.BROKEN as exc:
+        except pool.TRANSPORT_ERRORS as exc:
             raise errors.StreamError(error=_broken(exc)) from exc
         if not event.endswith(EVENT_END):
             raise errors.StreamError(error=_cut(event))
@@ -113,11 +113,11 @@
         """Reads the HTTP end, so that the connection can be used again."""
         try:
             self._response.read()
-        except pool.BROKEN:
+        except pool.TRANSPORT_ERRORS:
             self._response.release()
 
 
-def head_of(response: Any) -> messages.StreamHead:
+def parse_head(response: Any) -> messages.StreamHead:
     """Reads what an answer's headers tell of the attempt."""
 
     def text(header: messages.Header) -> str:
--- a/irisshelf/backends/errors.py
+++ b/irisshelf/backends/errors.py
@@ -15,16 +15,16 @@
         outcome: Whether the call may have run.
         cause: What went wrong.
         unreachable: Whether the server could not even be connected to.
-        leaving: Whether the server said that it takes no new work.
-        try_target: The engine whose owner should be asked instead.
+        draining: Whether the server said that it takes no new work.
+        redirect_target: The engine whose owner should be asked instead.
         detail: For people.
     """
 
     outcome: outcome.Outcome
     cause: outcome.Cause
     unreachable: bool = False
-    leaving: bool = False
-    try_target: str = ""
+    draining: bool = False
+    redirect_target: str = ""
     detail: str = ""
 
 
--- a/irisshelf/backends/messages.py
+++ b/irisshelf/backends/messages.py
@@ -19,7 +19,7 @@
     ENGINE_WORK = "X-Engine-Work"
     TARGET = "X-Target"
     REASON = "X-Placement-Reason"
-    STAMP = "X-Stamp"
+    TIMESTAMP = "X-Stamp"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -77,13 +77,13 @@
         address: The owner's relay address.
         secret: What all instances of the fleet know.
         body: The encoded ``relay_messages.Request``.
-        stamp: The sender's clock, for the time line.
+        timestamp: The sender's clock, for the time line.
     """
 
     address: str
     secret: str
     body: bytes
-    stamp: str
+    timestamp: str
     limits: Limits
 
 
@@ -118,13 +118,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ServiceAnswer:
+class ServiceResponse:
     """A plain service's whole answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    leaving: bool = False
+    draining: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -143,10 +143,10 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ServerReport:
+class ServerLoadReport:
     """What a backend server says of itself."""
 
-    leaving: bool
+    draining: bool
     engines: Mapping[str, EngineLoad]
 
 
--- a/irisshelf/backends/pool.py
+++ b/irisshelf/backends/pool.py
@@ -16,7 +16,7 @@
 PEER_CONCURRENCY = 256
 # What geventhttpclient raises for connections that break or answers that are
 # no HTTP; its time-outs are OSErrors.
-BROKEN = (OSError, http_client.HTTPException, ValueError)
+TRANSPORT_ERRORS = (OSError, http_client.HTTPException, ValueError)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -26,7 +26,7 @@
     idle_s: float
 
 
-class Pool:
+class ClientPool:
     """Keeps one HTTP client for each address and pair of time-outs.
 
     Args:
@@ -53,14 +53,14 @@
         context = self._peer_context
         return self._get(self._peers, key, PEER_CONCURRENCY, context)
 
-    def keep(self, addresses: frozenset[str]) -> None:
+    def retain(self, addresses: frozenset[str]) -> None:
         """Forgets clients of backend servers at other addresses.
 
         They are not closed: a stream that still runs on one ends by itself.
         """
         _keep(self._clients, addresses)
 
-    def keep_peers(self, addresses: frozenset[str]) -> None:
+    def retain_peers(self, addresses: frozenset[str]) -> None:
         """Forgets clients of instances at other relay addresses."""
         _keep(self._peers, addresses)
 
--- a/irisshelf/backends/relay.py
+++ b/irisshelf/backends/relay.py
@@ -20,7 +20,7 @@
 
 @dispatch.start.register
 def _start_relay_call(
-    call: messages.RelayCall, *, clients: pool.Pool
+    call: messages.RelayCall, *, clients: pool.ClientPool
 ) -> result.Result[engine_stream.EngineStream, errors.CallError]:
     client = clients.peer_client(
         call.address,
@@ -35,7 +35,7 @@
         headers={
             "Authorization": f"Bearer {call.secret}",
             "Content-Type": "application/cbor",
-            messages.Header.STAMP.value: call.stamp,
+            messages.Header.TIMESTAMP.value: call.timestamp,
         },
     )
     sent = send(client)
@@ -44,7 +44,7 @@
     response = sent.ok_value
     if response.status_code != _OK:
         return result.Err(_refusal(response))
-    head = engine_stream.head_of(response)
+    head = engine_stream.parse_head(response)
     return result.Ok(
         engine_stream.EngineStream(
             response=response,
@@ -66,6 +66,6 @@
             outcome.Outcome.NOT_RUN if not_run else outcome.Outcome.UNKNOWN
         ),
         cause=outcome.Cause.REFUSED,
-        try_target=elsewhere if not_run else "",
+        redirect_target=elsewhere if not_run else "",
         detail=f"owner answered {response.status_code}: {detail!r}",
     )
--- a/irisshelf/backends/service.py
+++ b/irisshelf/backends/service.py
@@ -11,7 +11,7 @@
 from irisshelf.routing import outcome
 
 # Headers that belong to one connection, not to the message (RFC 9110, 7.6.1).
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -29,8 +29,8 @@
 
 @dispatch.start.register
 def _start_service_call(
-    call: messages.ServiceCall, *, clients: pool.Pool
-) -> result.Result[messages.ServiceAnswer, errors.CallError]:
+    call: messages.ServiceCall, *, clients: pool.ClientPool
+) -> result.Result[messages.ServiceResponse, errors.CallError]:
     """Sends the call on a connection of its own.
 
     A pooled connection may turn out stale after the request was written, and
@@ -59,14 +59,14 @@
 
 def _read(
     call: messages.ServiceCall, response
-) -> result.Result[messages.ServiceAnswer, errors.CallError]:
+) -> result.Result[messages.ServiceResponse, errors.CallError]:
     if response.get(messages.Header.NOT_RUN.value) is not None:
-        return result.Err(dispatch.refusal(response))
+        return result.Err(dispatch.error_from_response(response))
     echoed = response.get(messages.Header.ATTEMPT_ID.value)
     if echoed != call.attempt_id:
         response.release()
         return result.Err(
-            dispatch.garbled(
+            dispatch.malformed_response(
                 f"echoed attempt id is {echoed!r}, not {call.attempt_id!r}"
             )
         )
@@ -76,15 +76,15 @@
     headers = tuple(
         (str(name), str(value))
         for name, value in response.items()
-        if str(name).lower() not in HOP_HEADERS
+        if str(name).lower() not in HOP_BY_HOP_HEADERS
         and str(name) != messages.Header.ATTEMPT_ID.value
     )
     return result.Ok(
-        messages.ServiceAnswer(
+        messages.ServiceResponse(
             status=response.status_code,
             headers=headers,
             body=body.ok_value,
-            leaving=response.get(messages.Header.DRAINING.value) is not None,
+            draining=response.get(messages.Header.DRAINING.value) is not None,
         )
     )
 
@@ -96,7 +96,7 @@
     length = response.content_length
     try:
         body = bytes(response.read(limit + 1))
-    except pool.BROKEN as exc:
+    except pool.TRANSPORT_ERRORS as exc:
         return result.Err(
             errors.CallError(
                 outcome=outcome.Outcome.UNKNOWN,
@@ -107,10 +107,14 @@
     if len(body) > limit:
         response.release()
         return result.Err(
-            dispatch.garbled(f"answer is over {limit} bytes, the limit")
+            dispatch.malformed_response(
+                f"answer is over {limit} bytes, the limit"
+            )
         )
     if length is not None and len(body) < length:
         return result.Err(
-            dispatch.garbled(f"answer has {len(body)} of {length} bytes")
+            dispatch.malformed_response(
+                f"answer has {len(body)} of {length} bytes"
+            )
         )
     return result.Ok(body)
--- a/irisshelf/daemon/model_call.py
+++ b/irisshelf/daemon/model_call.py
@@ -286,14 +286,14 @@
         """
         if attempt.send is not None:
             return False
-        if not error.unreachable and not error.try_target:
+        if not error.unreachable and not error.redirect_target:
             return False
         if self._forward_failures >= _MAX_FORWARD_FAILURES:
             self._ask_owner_of = ""
             return False
         self._forward_failures += 1
         self._course.cancel_attempt()
-        self._ask_owner_of = error.try_target
+        self._ask_owner_of = error.redirect_target
         if error.unreachable:
             self._nd.peer_unreachable(attempt.call.address)
         return True
--- a/irisshelf/daemon/model_messages.py
+++ b/irisshelf/daemon/model_messages.py
@@ -95,7 +95,7 @@
         address=address,
         secret=nd.peer_secret,
         body=relay_messages.encode(handed),
-        stamp=nd.timeline.stamp_text(),
+        timestamp=nd.timeline.stamp_text(),
         limits=_limits(req),
     )
 
--- a/irisshelf/daemon/node.py
+++ b/irisshelf/daemon/node.py
@@ -82,7 +82,7 @@
         self.peer_context = (
             tls.client_context(secured.files()) if secured else None
         )
-        self.clients = pool.Pool(peer_context=self.peer_context)
+        self.clients = pool.ClientPool(peer_context=self.peer_context)
         self.health = health.HealthTracker()
         self.services: dict[str, service.ServiceRouter] = {}
         self.claims = claims.ClaimWriter(platform=platform, counts=self.metrics)
@@ -151,7 +151,7 @@
         self.configure(bundle)
         self.health.retain(frozenset(bundle.backend_servers))
         servers = bundle.backend_servers.values()
-        self.clients.keep(frozenset(server.address for server in servers))
+        self.clients.retain(frozenset(server.address for server in servers))
         self.metrics.bundle_number.set(bundle.number)
         self.move("bundle_in_force")
 
@@ -196,7 +196,7 @@
             self.observe(target.server, health.Event.SUCCESS)
             if target.engine:
                 self.observe(target.name, health.Event.SUCCESS)
-        elif error.leaving:
+        elif error.draining:
             self.observe(target.server, health.Event.LEAVE, error.detail)
         elif error.unreachable:
             self.observe(target.server, health.Event.UNREACHABLE, error.detail)
--- a/irisshelf/daemon/plain_call.py
+++ b/irisshelf/daemon/plain_call.py
@@ -52,7 +52,7 @@
             budget=req.router.budget,
         )
 
-    def run(self) -> result.Result[messages.ServiceAnswer, outcome.Refusal]:
+    def run(self) -> result.Result[messages.ServiceResponse, outcome.Refusal]:
         """Sends the call, again if it may and must."""
         while True:
             send = self._place()
@@ -113,7 +113,7 @@
             work = send.placement.work
             self._req.router.record_progress(send, work, self._nd.now())
         self._nd.observe_call(send.target, answer.err())
-        if answer.is_ok() and answer.ok_value.leaving:
+        if answer.is_ok() and answer.ok_value.draining:
             server = send.target.server
             self._nd.observe(server, health.Event.LEAVE, "says so")
         return answer
--- a/irisshelf/daemon/plain_front.py
+++ b/irisshelf/daemon/plain_front.py
@@ -135,7 +135,7 @@
 
     def _admitted(
         self, req: plain_call.Request, team: node.Team
-    ) -> result.Result[messages.ServiceAnswer, outcome.Refusal]:
+    ) -> result.Result[messages.ServiceResponse, outcome.Refusal]:
         entered = self._gate.enter(req.router, team, req.request_id)
         if entered is not None:
             return result.Err(entered)
@@ -160,7 +160,10 @@
             continue
         header = name[5:].replace("_", "-").title()
         lower = header.lower()
-        if lower in service_client.HOP_HEADERS or lower == "authorization":
+        if (
+            lower in service_client.HOP_BY_HOP_HEADERS
+            or lower == "authorization"
+        ):
             continue
         headers[header] = value
     if environ.get("CONTENT_TYPE"):
--- a/irisshelf/daemon/watch.py
+++ b/irisshelf/daemon/watch.py
@@ -51,7 +51,7 @@
     for name in changes.removed:
         nodes.pop(name, None)
     nd.nodes = nodes
-    nd.clients.keep_peers(
+    nd.clients.retain_peers(
         frozenset(item.relay_address for item in nodes.values())
     )
     instances = 0
@@ -101,7 +101,7 @@
 def probe(nd: node.Node, name: str, server: schema.BackendServer) -> None:
     """Asks a backend server for its load and takes what it says."""
     asked_s = nd.now()
-    answer = engine.report(
+    answer = engine.fetch_load_report(
         nd.clients,
         server.address,
         timeout_s=nd.cfg.pace.probe_s,
@@ -115,7 +115,7 @@
         nd.observe(name, event, f"probe: {answer.err_value.detail}")
         return
     report = answer.ok_value
-    if report.leaving:
+    if report.draining:
         nd.observe(name, health.Event.LEAVE, "says so")
     elif nd.health.state(name) == "leaving":
         # Its own report does not take back what the platform's list says.
--- a/irisshelf/tests/test_engine_client.py
+++ b/irisshelf/tests/test_engine_client.py
@@ -21,7 +21,7 @@
         engines=("e0", "e1"), cfg=fake_engine.EngineConfig(token_s=0.0)
     )
     served = harness.Server(app=server)
-    yield pool.Pool(), server, served.address
+    yield pool.ClientPool(), server, served.address
     served.stop()
 
 
@@ -48,13 +48,13 @@
     clients, server, address = rig
     server.draining = True
     counted = []
-    found = engine.report(
+    found = engine.fetch_load_report(
         clients,
         address,
         timeout_s=_S,
         count=lambda kind, size: counted.append((kind, size)),
     ).unwrap()
-    assert found.leaving
+    assert found.draining
     assert sorted(found.engines) == ["e0", "e1"]
     assert counted[0][0] == "probe"
     assert counted[0][1] > len(json.dumps(server._load()))
@@ -72,7 +72,7 @@
     clients, server, address = rig
     server.checks_fencing = checks
     found = [
-        engine.order(
+        engine.send_order(
             clients,
             address,
             engine="e0",
@@ -89,7 +89,7 @@
 def test_an_order_given_twice_is_carried_out_once(rig):
     clients, server, address = rig
     for _ in range(2):
-        engine.order(
+        engine.send_order(
             clients, address, engine="e0", order=_order(1), timeout_s=_S
         ).unwrap()
     assert len(server.engines["e0"].orders) == 1
@@ -116,7 +116,7 @@
     one = server.engines["e0"]
 
     def events(since):
-        return engine.cache_events(
+        return engine.fetch_cache_events(
             clients, address, engine="e0", since=since, timeout_s=_S
         ).unwrap()
 
@@ -136,13 +136,13 @@
 )
 def test_garbage_is_an_error_and_no_crash(body):
     served = _garbage(body)
-    clients = pool.Pool()
+    clients = pool.ClientPool()
     address = served.address
     calls = [
-        engine.report(
+        engine.fetch_load_report(
             clients, address, timeout_s=_S, count=lambda kind, size: None
         ),
-        engine.cache_events(
+        engine.fetch_cache_events(
             clients, address, engine="e0", since=0, timeout_s=_S
         ),
     ]
@@ -152,10 +152,10 @@
 
 
 def test_clients_of_instances_that_are_gone_are_forgotten():
-    clients = pool.Pool()
+    clients = pool.ClientPool()
     limits = {"connect_s": _S, "idle_s": _S}
     first = clients.peer_client("127.0.0.1:1", **limits)
     clients.peer_client("127.0.0.1:2", **limits)
-    clients.keep_peers(frozenset(["127.0.0.1:1"]))
+    clients.retain_peers(frozenset(["127.0.0.1:1"]))
     assert clients.peer_client("127.0.0.1:1", **limits) is first
     assert len(clients._peers) == 1
--- a/irisshelf/tests/test_tls.py
+++ b/irisshelf/tests/test_tls.py
@@ -123,7 +123,7 @@
     known = tls.client_context(_files(tmp_path / "client", signer=fleet))
     answers = []
     for context in (known, None):
-        clients = pool.Pool(peer_context=context)
+        clients = pool.ClientPool(peer_context=context)
         client = clients.peer_client(address, connect_s=1, idle_s=1)
         sent = dispatch.request("GET", "/", client)
         answers.append(sent.and_then(dispatch.read_all))
--- a/irisshelf/transport/client.py
+++ b/irisshelf/transport/client.py
@@ -110,7 +110,8 @@
             The status and the headers, names as the server wrote them.
 
         Raises:
-            errors.BrokenConnectionError: The connection broke, or this is no HTTP.
+            errors.BrokenConnectionError: The connection broke, or the data is
+                not valid HTTP.
             errors.PeerTimeoutError: Nothing came in time.
         """
         until_s = boottime.now() + timeout_s
