--- a/irisshelf/backends/__init__.py
+++ b/irisshelf/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of model engines and plain services."""
+"""HTTP clients for model engines, plain services and other instances."""
--- a/irisshelf/backends/dispatch.py
+++ b/irisshelf/backends/dispatch.py
@@ -1,4 +1,4 @@
-"""The one entry point for calls to backend servers, of whatever kind."""
+"""Dispatches calls to the client registered for their type."""
 
 from __future__ import annotations
 
@@ -16,31 +16,33 @@
 from irisshelf.backends import pool
 from irisshelf.routing import outcome
 
-_NOT_CONNECTED = frozenset(
+_CONNECT_ERRNOS = frozenset(
     {errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH}
 )
 
 
 @functools.singledispatch
 def start(call: Any, *, clients: pool.ClientPool) -> result.Result:
-    """Starts a call; what comes back depends on the kind of call.
+    """Starts a call; the type of the result depends on the type of the call.
 
     Args:
-        call: One of the calls of ``messages``.
+        call: One of the call types in ``messages``.
         clients: Pooled connections.
 
     Returns:
-        An open stream or a whole answer, or the ``errors.CallError``.
+        An open stream or a complete response, or an ``errors.CallError``.
 
     Raises:
-        TypeError: No client is registered for this kind of call.
+        TypeError: No client is registered for this type of call.
 
     See Also:
         engine: registers ``EngineCall`` and ``ResumeCall``.
         service: registers ``ServiceCall``.
     """
     del clients
-    raise TypeError(f"got a {type(call).__name__}, which no client starts")
+    raise TypeError(
+        f"no client is registered for calls of type {type(call).__name__}"
+    )
 
 
 def request(
@@ -51,25 +53,26 @@
     body: bytes = b"",
     headers: Mapping[str, str] | None = None,
 ) -> result.Result[Any, errors.CallError]:
-    """Sends a request and reads the answer's head.
+    """Sends a request and reads the response head.
 
-    A refused or unroutable connection means that nothing was sent, so the
-    call did not run. The library does not tell a time-out of the connect from
-    one of the answer, so nothing is claimed of those.
+    If the connection is refused or the host is unroutable, nothing was sent
+    and the outcome is ``NOT_RUN``. geventhttpclient does not distinguish
+    connect time-outs from response time-outs, so the outcome of a time-out is
+    ``UNKNOWN``.
     """
     try:
         return result.Ok(
             client.request(method, path, body=body, headers=headers)
         )
     except pool.TRANSPORT_ERRORS as exc:
-        if getattr(exc, "errno", None) in _NOT_CONNECTED:
+        if getattr(exc, "errno", None) in _CONNECT_ERRNOS:
             return result.Err(_unreachable(exc))
-        silent = isinstance(exc, TimeoutError)
+        timed_out = isinstance(exc, TimeoutError)
         return result.Err(
             errors.CallError(
                 outcome=outcome.Outcome.UNKNOWN,
                 cause=(
-                    outcome.Cause.TIMEOUT if silent else outcome.Cause.BROKEN
+                    outcome.Cause.TIMEOUT if timed_out else outcome.Cause.BROKEN
                 ),
                 detail=f"{type(exc).__name__}: {exc}",
             )
@@ -77,7 +80,7 @@
 
 
 def read_all(response: Any) -> result.Result[bytes, errors.CallError]:
-    """Reads a whole answer."""
+    """Reads the complete response body."""
     try:
         return result.Ok(bytes(response.read()))
     except pool.TRANSPORT_ERRORS as exc:
@@ -91,9 +94,10 @@
 
 
 def error_from_response(response: Any) -> errors.CallError:
-    """Turns an answer other than success into our error.
+    """Converts an unsuccessful response to a ``CallError``.
 
-    Only the server's header ``X-Not-Run`` says that the call did not run.
+    The outcome is ``NOT_RUN`` only if the server sent the header
+    ``X-Not-Run``; a status code alone does not prove it.
     """
     not_run = response.get(messages.Header.NOT_RUN.value) is not None
     draining = response.get(messages.Header.DRAINING.value) is not None
@@ -104,20 +108,22 @@
         ),
         cause=outcome.Cause.REFUSED,
         draining=draining,
-        detail=f"status {response.status_code}: {detail!r}",
+        detail=f"server sent status {response.status_code}: {detail!r}",
     )
 
 
 def decode_json(data: bytes) -> result.Result[Any, errors.CallError]:
-    """Decodes JSON."""
+    """Decodes JSON; deeply nested input is an error like invalid JSON."""
     try:
         return result.Ok(json.loads(data))
     except (ValueError, RecursionError) as exc:
-        return result.Err(malformed_response(f"no JSON: {exc}"))
+        return result.Err(
+            malformed_response(f"response is not valid JSON: {exc}")
+        )
 
 
 def malformed_response(detail: str) -> errors.CallError:
-    """Makes the error for an answer that makes no sense."""
+    """Returns the error for a response that cannot be interpreted."""
     return errors.CallError(
         outcome=outcome.Outcome.UNKNOWN,
         cause=outcome.Cause.GARBLED,
--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -1,4 +1,4 @@
-"""Client of model engines: streams, resume, cancel, load, orders, cache."""
+"""Client for model engines: streams, load, commands and the KV cache."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
             errors.CallError(
                 outcome=outcome.Outcome.UNKNOWN,
                 cause=outcome.Cause.GARBLED,
-                detail="resumed another generation",
+                detail="server resumed a different generation than requested",
             )
         )
     return opened
@@ -105,7 +105,7 @@
 def cancel(
     clients: pool.ClientPool, call: messages.CancelCall
 ) -> result.Result[None, errors.CallError]:
-    """Tells an engine that nobody waits for an attempt any more."""
+    """Cancels an attempt whose result is no longer needed."""
     client = clients.client(
         call.address, connect_s=_CANCEL_CONNECT_S, idle_s=_CANCEL_IDLE_S
     )
@@ -122,16 +122,16 @@
     timeout_s: float,
     count: traffic.Count,
 ) -> result.Result[messages.ServerLoadReport, errors.CallError]:
-    """Asks a backend server for its engines' load.
+    """Fetches the load of all engines of a backend server.
 
     Args:
-        clients: Pooled connections.
+        clients: Pooled HTTP clients.
         address: The server's address.
-        timeout_s: Limit on connecting and on each wait for bytes.
-        count: Told of the bytes that this took.
+        timeout_s: Time limit for the connect and for each read.
+        count: Called with the size of the exchange in bytes.
 
     Returns:
-        The report, or what went wrong.
+        The report, or the error.
     """
     answer = _get_json(
         clients, address, "/load", timeout_s=timeout_s, count=count
@@ -147,7 +147,7 @@
     since: int,
     timeout_s: float,
 ) -> result.Result[messages.CacheEvents, errors.CallError]:
-    """Fetches an engine's cache events from a sequence number on."""
+    """Fetches an engine's cache events, from sequence number ``since``."""
     path = f"/engines/{urllib.parse.quote(engine)}/cache_events?since={since}"
     answer = _get_json(clients, address, path, timeout_s=timeout_s)
     return answer.and_then(_decode_events)
@@ -161,7 +161,7 @@
     order: messages.Order,
     timeout_s: float,
 ) -> result.Result[None, errors.CallError]:
-    """Gives an engine an order under a fencing number."""
+    """Sends an engine an order that carries a fencing number."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
     body = json.dumps(
         {
@@ -188,7 +188,7 @@
     key: str,
     timeout_s: float,
 ) -> result.Result[bytes, errors.CallError]:
-    """Fetches a cached prefix from an engine."""
+    """Fetches the KV cache of a prompt prefix from an engine."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
     sent = dispatch.request("GET", _kv_path(engine, key), client)
     if isinstance(sent, result.Err):
@@ -207,7 +207,7 @@
     data: bytes,
     timeout_s: float,
 ) -> result.Result[None, errors.CallError]:
-    """Puts a prefix, exported elsewhere, into an engine's cache."""
+    """Stores the KV cache of a prompt prefix, exported by another engine."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
     sent = dispatch.request("PUT", _kv_path(engine, key), client, body=data)
     if isinstance(sent, result.Err):
@@ -266,7 +266,9 @@
         }
         draining = bool(document["draining"])
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        return result.Err(dispatch.malformed_response(f"load report: {exc!r}"))
+        return result.Err(
+            dispatch.malformed_response(f"load report is malformed: {exc!r}")
+        )
     return result.Ok(
         messages.ServerLoadReport(draining=draining, engines=engines)
     )
@@ -283,5 +285,7 @@
             evicted=tuple(map(str, document["evicted"])),
         )
     except (KeyError, TypeError, ValueError) as exc:
-        return result.Err(dispatch.malformed_response(f"cache events: {exc!r}"))
+        return result.Err(
+            dispatch.malformed_response(f"cache events are malformed: {exc!r}")
+        )
     return result.Ok(events)
--- a/irisshelf/backends/engine_stream.py
+++ b/irisshelf/backends/engine_stream.py
@@ -1,4 +1,4 @@
-"""A stream of server-sent events from an engine, checked as it comes."""
+"""Reads and validates a stream of server-sent events from an engine."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class EngineStream:
-    """A stream of events from one attempt, checked one by one.
+    """The stream of events of one attempt; each event is validated.
 
     Args:
         response: The open HTTP response.
-        checker: Follows offsets and attempt id.
-        generation: Names the generation, for a resume.
-        head: The answer's headers that tell of the attempt.
+        checker: Validates the offset and attempt id of each event.
+        generation: Id of the generation, needed to resume it.
+        head: Attempt metadata from the response headers.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.head = head
         self._response = response
         self._checker = checker
-        self._fault: errors.StreamError | None = None
+        self._error: errors.StreamError | None = None
         self.generation = generation
         self.last_chunk = b""
 
@@ -45,72 +45,74 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the end mark has come."""
+        """Whether the event that ends the stream has been received."""
         return self._checker.ended
 
     def read(self) -> bytes:
-        """Returns the next events that belong to the answer.
+        """Returns the next events of the response.
 
-        Events that have already arrived come together: whoever passes them on
-        does so in one write, and writes are what a relay spends most on.
+        All events already buffered are returned together, so that a relay
+        forwards them in one write; writes are the largest part of its cost.
 
         Returns:
-            One event or more, each bytes up to and with its empty line; after
-            the end mark's event, ``b""``.
+            One or more events, each including its terminating empty line;
+            ``b""`` after the event that ends the stream.
 
         Raises:
-            errors.StreamError: The stream is cut, silent or garbled. Events
-                before the fault have been returned by an earlier call.
+            errors.StreamError: The stream is truncated, timed out or is
+                malformed. Events before the error have been returned by an
+                earlier call.
         """
-        if self._fault is not None:
-            raise self._fault
-        ready: list[bytes] = []
-        while not self._checker.ended and (not ready or self._has_event()):
+        if self._error is not None:
+            raise self._error
+        events: list[bytes] = []
+        while not self._checker.ended and (not events or self._has_event()):
             try:
-                self._take_event(ready)
+                self._read_event(events)
             except errors.StreamError as exc:
-                if not ready:
+                if not events:
                     raise
-                self._fault = exc
+                self._error = exc
                 break
-        if not ready:
+        if not events:
             self._finish()
-        return b"".join(ready)
+        return b"".join(events)
 
-    def _take_event(self, ready: list[bytes]) -> None:
+    def _read_event(self, events: list[bytes]) -> None:
         event = self._next_event()
         verdict = self._checker.check(event)
         if verdict is stream.Verdict.CHUNK:
             self.last_chunk = event
-            ready.append(event)
+            events.append(event)
         elif verdict is stream.Verdict.END:
-            ready.append(event)
+            events.append(event)
         elif verdict in stream.INVALID:
-            raise errors.StreamError(error=_garbled(verdict))
+            raise errors.StreamError(error=_invalid_event(verdict))
 
     def _has_event(self) -> bool:
-        """Tells whether a whole event has already arrived.
+        """Returns whether a complete event is buffered.
 
-        The library has no public word for what it has buffered; without the
-        attribute events are passed on one by one.
+        geventhttpclient has no public interface to its buffer, so this reads a
+        private attribute; without the attribute, events are forwarded one by
+        one.
         """
         return EVENT_END in getattr(self._response, "_body_buffer", b"")
 
     def close(self) -> None:
-        """Gives the connection up."""
+        """Releases the connection before the end of the stream."""
         self._response.release()
 
     def _next_event(self) -> bytes:
         try:
             event = bytes(self._response.readline(EVENT_END))
         except pool.TRANSPORT_ERRORS as exc:
-            raise errors.StreamError(error=_broken(exc)) from exc
+            raise errors.StreamError(error=_transport_error(exc)) from exc
         if not event.endswith(EVENT_END):
-            raise errors.StreamError(error=_cut(event))
+            raise errors.StreamError(error=_truncated(event))
         return event
 
     def _finish(self) -> None:
-        """Reads the HTTP end, so that the connection can be used again."""
+        """Reads to the end of the body so that the connection can be reused."""
         try:
             self._response.read()
         except pool.TRANSPORT_ERRORS:
@@ -118,7 +120,7 @@
 
 
 def parse_head(response: Any) -> messages.StreamHead:
-    """Reads what an answer's headers tell of the attempt."""
+    """Parses the attempt metadata in the response headers."""
 
     def text(header: messages.Header) -> str:
         return response.get(header.value) or ""
@@ -135,27 +137,27 @@
     )
 
 
-def _broken(exc: Exception) -> errors.CallError:
-    """Turns a transport's exception on a begun answer into our error."""
-    silent = isinstance(exc, TimeoutError)
+def _transport_error(exc: Exception) -> errors.CallError:
+    """Converts a transport exception during the response to a ``CallError``."""
+    timed_out = isinstance(exc, TimeoutError)
     return errors.CallError(
         outcome=outcome.Outcome.UNKNOWN,
-        cause=outcome.Cause.TIMEOUT if silent else outcome.Cause.BROKEN,
+        cause=outcome.Cause.TIMEOUT if timed_out else outcome.Cause.BROKEN,
         detail=f"{type(exc).__name__}: {exc}",
     )
 
 
-def _garbled(verdict: stream.Verdict) -> errors.CallError:
+def _invalid_event(verdict: stream.Verdict) -> errors.CallError:
     return errors.CallError(
         outcome=outcome.Outcome.UNKNOWN,
         cause=outcome.Cause.GARBLED,
-        detail=f"the engine's stream is wrong: {verdict}",
+        detail=f"invalid event in the engine's stream: {verdict}",
     )
 
 
-def _cut(rest: bytes) -> errors.CallError:
+def _truncated(event: bytes) -> errors.CallError:
     return errors.CallError(
         outcome=outcome.Outcome.UNKNOWN,
         cause=outcome.Cause.BROKEN,
-        detail=f"the engine's stream ended {len(rest)} bytes into an event",
+        detail=f"stream truncated: ended {len(event)} bytes into an event",
     )
--- a/irisshelf/backends/errors.py
+++ b/irisshelf/backends/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the layer that talks to backend servers."""
+"""Errors of the clients for backend servers."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallError:
-    """A call that did not end well.
+    """The failure of a call.
 
     Attributes:
         outcome: Whether the call may have run.
-        cause: What went wrong.
-        unreachable: Whether the server could not even be connected to.
-        draining: Whether the server said that it takes no new work.
-        redirect_target: The engine whose owner should be asked instead.
-        detail: For people.
+        cause: The kind of failure.
+        unreachable: Whether no connection to the server could be made.
+        draining: Whether the server reported that it accepts no new work.
+        redirect_target: The engine to whose owner the call should be sent
+            instead; empty if there is none.
+        detail: A description for logs and error messages.
     """
 
     outcome: outcome.Outcome
@@ -29,7 +30,7 @@
 
 
 class StreamError(Exception):
-    """A stream that broke after it had begun; ``error`` says how."""
+    """A stream failed after its start; ``error`` describes the failure."""
 
     def __init__(self, *, error: CallError):
         super().__init__(error.detail)
--- a/irisshelf/backends/messages.py
+++ b/irisshelf/backends/messages.py
@@ -1,4 +1,4 @@
-"""Typed calls to backend servers and their answers."""
+"""Typed calls to backend servers and their responses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Header(enum.StrEnum):
-    """Headers that backend servers know."""
+    """HTTP headers exchanged with backend servers and other instances."""
 
     ATTEMPT_ID = "X-Attempt-Id"
     GENERATION = "X-Generation"
@@ -24,7 +24,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """A call's limits, in seconds and bytes."""
+    """The limits of a call, in seconds and bytes.
+
+    Attributes:
+        connect_s: Time limit for the connect.
+        idle_s: Time limit for each read.
+        max_body_bytes: Maximum size of a plain service's response.
+    """
 
     connect_s: float
     idle_s: float
@@ -33,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineCall:
-    """A request to an engine for a stream of tokens."""
+    """A request to an engine that is answered by a stream of tokens."""
 
     address: str
     engine: str
@@ -45,11 +51,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ResumeCall:
-    """A request to go on with a stream that was cut.
+    """A request to resume an interrupted stream.
 
     Attributes:
-        next_offset: Offset of the first event wanted.
-        generation: The generation that the cut stream named.
+        next_offset: Offset of the first event to be sent.
+        generation: Id of the generation, as given by the interrupted stream.
     """
 
     address: str
@@ -62,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CancelCall:
-    """Word to an engine that nobody waits for an attempt any more."""
+    """Cancels an attempt whose result is no longer needed."""
 
     address: str
     engine: str
@@ -75,9 +81,9 @@
 
     Attributes:
         address: The owner's relay address.
-        secret: What all instances of the fleet know.
+        secret: The secret shared by all instances of the fleet.
         body: The encoded ``relay_messages.Request``.
-        timestamp: The sender's clock, for the time line.
+        timestamp: The sender's clock reading, for the timeline of events.
     """
 
     address: str
@@ -89,12 +95,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StreamHead:
-    """What an answer's headers tell of the attempt behind it.
+    """Attempt metadata in the headers of a response.
 
     Attributes:
-        attempt_id: The attempt's id.
-        target: The engine, ``SERVER/ENGINE``, where an owner chose it.
-        reason: Why the owner chose it.
+        attempt_id: Id of the attempt.
+        target: The engine, as ``SERVER/ENGINE``, if an owner chose it.
+        reason: The owner's reason for the choice.
         engine_work: The engine's outstanding work before this request.
     """
 
@@ -119,7 +125,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServiceResponse:
-    """A plain service's whole answer."""
+    """The complete response of a plain service.
+
+    Attributes:
+        status: The HTTP status.
+        headers: The end-to-end headers.
+        body: The complete body.
+        draining: Whether the server reported that it accepts no new work.
+    """
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -129,12 +142,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineLoad:
-    """One engine's load, as its server reports it.
+    """The load of one engine, as reported by its server.
 
     Attributes:
-        work: Outstanding work in tokens.
-        running: Requests in the batch.
-        waiting: Requests that wait in the engine.
+        work: Outstanding work, in tokens.
+        running: Number of requests in the current batch.
+        waiting: Number of requests queued in the engine.
     """
 
     work: float
@@ -144,7 +157,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServerLoadReport:
-    """What a backend server says of itself."""
+    """The load report of a backend server.
+
+    Attributes:
+        draining: Whether it accepts no new work.
+        engines: The load of each engine, by name.
+    """
 
     draining: bool
     engines: Mapping[str, EngineLoad]
@@ -152,10 +170,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Order:
-    """An order to an engine, under a fencing number.
+    """A command to an engine that carries a fencing number.
 
     Attributes:
-        order_id: Makes the order idempotent.
+        order_id: Idempotency key; an order sent again is not executed again.
         fence: The lease's fencing number.
         action: Such as ``load_model``, ``load_adapter`` or ``set_role``.
         arguments: The action's arguments.
@@ -169,13 +187,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CacheEvents:
-    """Some of an engine's cache events, late and perhaps with gaps.
+    """A batch of cache events of an engine; may be late and have gaps.
 
     Attributes:
-        first: Sequence number of the first event.
-        next: Sequence number to ask from next.
-        added: Keys that entered the cache.
-        evicted: Keys that left it.
+        first: Sequence number of the first event in the batch.
+        next: Sequence number at which the next batch starts.
+        added: Keys added to the cache.
+        evicted: Keys evicted from the cache.
     """
 
     first: int
--- a/irisshelf/backends/pool.py
+++ b/irisshelf/backends/pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections to backend servers."""
+"""HTTP clients with pooled connections to servers and instances."""
 
 from __future__ import annotations
 
@@ -11,63 +11,64 @@
 from irisshelf.peers import tls
 
 CONCURRENCY = 1024
-# Requests forwarded to one instance at a time; more wait. The library also
-# takes it as the number of tries when a peer turns our certificate down.
+# Maximum number of concurrent requests to one instance; further ones wait.
+# geventhttpclient also uses it as the number of connection attempts when a peer
+# rejects our certificate.
 PEER_CONCURRENCY = 256
-# What geventhttpclient raises for connections that break or answers that are
-# no HTTP; its time-outs are OSErrors.
+# Raised by geventhttpclient for failed connections and for responses that are
+# not valid HTTP; its time-outs are OSErrors.
 TRANSPORT_ERRORS = (OSError, http_client.HTTPException, ValueError)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Key:
+class _ClientKey:
     address: str
     connect_s: float
     idle_s: float
 
 
 class ClientPool:
-    """Keeps one HTTP client for each address and pair of time-outs.
+    """Caches one HTTP client per address and pair of time-outs.
 
     Args:
-        peer_context: For TLS to other instances; None for plain TCP.
+        peer_context: TLS context for other instances; None for plain TCP.
     """
 
     def __init__(self, *, peer_context: ssl.SSLContext | None = None):
-        self._clients: dict[_Key, geventhttpclient.HTTPClient] = {}
-        self._peers: dict[_Key, geventhttpclient.HTTPClient] = {}
+        self._clients: dict[_ClientKey, geventhttpclient.HTTPClient] = {}
+        self._peers: dict[_ClientKey, geventhttpclient.HTTPClient] = {}
         self._peer_context = peer_context
 
     def client(
         self, address: str, *, connect_s: float, idle_s: float
     ) -> geventhttpclient.HTTPClient:
         """Returns the client for an address such as ``127.0.0.1:8000``."""
-        key = _Key(address=address, connect_s=connect_s, idle_s=idle_s)
+        key = _ClientKey(address=address, connect_s=connect_s, idle_s=idle_s)
         return self._get(self._clients, key, CONCURRENCY, None)
 
     def peer_client(
         self, address: str, *, connect_s: float, idle_s: float
     ) -> geventhttpclient.HTTPClient:
         """Returns the client for another instance's relay address."""
-        key = _Key(address=address, connect_s=connect_s, idle_s=idle_s)
+        key = _ClientKey(address=address, connect_s=connect_s, idle_s=idle_s)
         context = self._peer_context
         return self._get(self._peers, key, PEER_CONCURRENCY, context)
 
     def retain(self, addresses: frozenset[str]) -> None:
-        """Forgets clients of backend servers at other addresses.
+        """Removes the clients for backend servers at other addresses.
 
-        They are not closed: a stream that still runs on one ends by itself.
+        They are not closed, so that streams still open on them can finish.
         """
-        _keep(self._clients, addresses)
+        _retain(self._clients, addresses)
 
     def retain_peers(self, addresses: frozenset[str]) -> None:
-        """Forgets clients of instances at other relay addresses."""
-        _keep(self._peers, addresses)
+        """Removes the clients for instances at other relay addresses."""
+        _retain(self._peers, addresses)
 
     def _get(
         self,
-        clients: dict[_Key, geventhttpclient.HTTPClient],
-        key: _Key,
+        clients: dict[_ClientKey, geventhttpclient.HTTPClient],
+        key: _ClientKey,
         concurrency: int,
         context: ssl.SSLContext | None,
     ) -> geventhttpclient.HTTPClient:
@@ -82,8 +83,9 @@
         return clients[key]
 
 
-def _keep(
-    clients: dict[_Key, geventhttpclient.HTTPClient], addresses: frozenset[str]
+def _retain(
+    clients: dict[_ClientKey, geventhttpclient.HTTPClient],
+    addresses: frozenset[str],
 ) -> None:
     for key in [key for key in clients if key.address not in addresses]:
         del clients[key]
@@ -97,11 +99,11 @@
     concurrency: int = 1,
     context: ssl.SSLContext | None = None,
 ) -> geventhttpclient.HTTPClient:
-    """Makes a client of its own, for a call that needs a fresh connection."""
+    """Creates an uncached client, for a call that needs a new connection."""
     host, _, port = address.rpartition(":")
-    secured = {}
+    tls_options = {}
     if context is not None:
-        secured = {
+        tls_options = {
             "ssl": True,
             "ssl_context_factory": lambda: context,
             "ssl_options": {"server_hostname": tls.SERVER_NAME},
@@ -112,5 +114,5 @@
         concurrency=concurrency,
         connection_timeout=connect_s,
         network_timeout=idle_s,
-        **secured,
+        **tls_options,
     )
--- a/irisshelf/backends/registry.py
+++ b/irisshelf/backends/registry.py
@@ -1,7 +1,7 @@
-"""``start`` with every client registered, whoever imports what else.
+"""Imports all clients, so that ``start`` accepts every type of call.
 
-A client registers itself when its module is imported; without this module a
-kind of call would be known or not by the accident of other imports.
+A client registers itself when its module is imported. Without this module, the
+types that ``start`` accepts would depend on which other modules are imported.
 """
 
 from __future__ import annotations
--- a/irisshelf/backends/relay.py
+++ b/irisshelf/backends/relay.py
@@ -1,4 +1,4 @@
-"""Client of other instances: hands a model call on to an engine's owner."""
+"""Client for other instances: forwards a model call to an engine's owner."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         return sent
     response = sent.ok_value
     if response.status_code != _OK:
-        return result.Err(_refusal(response))
+        return result.Err(_error_from_response(response))
     head = engine_stream.parse_head(response)
     return result.Ok(
         engine_stream.EngineStream(
@@ -55,17 +55,20 @@
     )
 
 
-def _refusal(response) -> errors.CallError:
-    """Takes what the owner says of whether the request ran."""
-    told = response.get("X-Outcome")
-    elsewhere = response.get(messages.Header.TARGET.value) or ""
+def _error_from_response(response) -> errors.CallError:
+    """Converts an error response of the owner to a ``CallError``.
+
+    The owner reports in ``X-Outcome`` whether the request ran.
+    """
+    reported = response.get("X-Outcome")
+    redirect_target = response.get(messages.Header.TARGET.value) or ""
     detail = dispatch.read_all(response).unwrap_or(b"")[:200]
-    not_run = told == outcome.Outcome.NOT_RUN.value
+    not_run = reported == outcome.Outcome.NOT_RUN.value
     return errors.CallError(
         outcome=(
             outcome.Outcome.NOT_RUN if not_run else outcome.Outcome.UNKNOWN
         ),
         cause=outcome.Cause.REFUSED,
-        redirect_target=elsewhere if not_run else "",
-        detail=f"owner answered {response.status_code}: {detail!r}",
+        redirect_target=redirect_target if not_run else "",
+        detail=f"owner sent status {response.status_code}: {detail!r}",
     )
--- a/irisshelf/backends/service.py
+++ b/irisshelf/backends/service.py
@@ -1,4 +1,4 @@
-"""Client of plain services."""
+"""Client for plain services."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from irisshelf.backends import pool
 from irisshelf.routing import outcome
 
-# Headers that belong to one connection, not to the message (RFC 9110, 7.6.1).
+# Headers that apply to a single connection and must not be forwarded
+# (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -31,10 +32,10 @@
 def _start_service_call(
     call: messages.ServiceCall, *, clients: pool.ClientPool
 ) -> result.Result[messages.ServiceResponse, errors.CallError]:
-    """Sends the call on a connection of its own.
+    """Sends the call on a new connection.
 
-    A pooled connection may turn out stale after the request was written, and
-    then nobody knows whether it ran; a fresh one avoids that.
+    A pooled connection may turn out to be stale after the request was written,
+    and then it is unknown whether the request ran.
     """
     del clients
     client = pool.new_client(
@@ -52,12 +53,12 @@
         )
         if isinstance(sent, result.Err):
             return sent
-        return _read(call, sent.ok_value)
+        return _read_response(call, sent.ok_value)
     finally:
         client.close()
 
 
-def _read(
+def _read_response(
     call: messages.ServiceCall, response
 ) -> result.Result[messages.ServiceResponse, errors.CallError]:
     if response.get(messages.Header.NOT_RUN.value) is not None:
@@ -67,7 +68,8 @@
         response.release()
         return result.Err(
             dispatch.malformed_response(
-                f"echoed attempt id is {echoed!r}, not {call.attempt_id!r}"
+                f"response has attempt id {echoed!r},"
+                f" expected {call.attempt_id!r}"
             )
         )
     body = _read_limited(response, call.limits.max_body_bytes)
@@ -92,7 +94,10 @@
 def _read_limited(
     response, limit: int
 ) -> result.Result[bytes, errors.CallError]:
-    """Reads a whole answer, which must be no longer than the limit."""
+    """Reads the response body, up to a limit in bytes.
+
+    A body over the limit or shorter than its Content-Length is an error.
+    """
     length = response.content_length
     try:
         body = bytes(response.read(limit + 1))
@@ -107,14 +112,12 @@
     if len(body) > limit:
         response.release()
         return result.Err(
-            dispatch.malformed_response(
-                f"answer is over {limit} bytes, the limit"
-            )
+            dispatch.malformed_response(f"response body exceeds {limit} bytes")
         )
     if length is not None and len(body) < length:
         return result.Err(
             dispatch.malformed_response(
-                f"answer has {len(body)} of {length} bytes"
+                f"response truncated: got {len(body)} of {length} bytes"
             )
         )
     return result.Ok(body)
