--- a/irisshelf/transport/client.py
+++ b/irisshelf/transport/client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a server, for one exchange at a time."""
+"""An HTTP/1.1 client connection that carries one exchange at a time."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 from irisshelf.transport import errors
 
 _READ_BYTES = 65536
-# Larger requests are written beside the reading, since a server may answer
-# before it has read a body and meanwhile not read on.
-_WRITE_ASIDE_BYTES = 8192
+# Larger requests are written by a separate greenlet while the response is read:
+# a server may respond before it has read the body, and not read on meanwhile.
+_BACKGROUND_WRITE_BYTES = 8192
 _MAX_HEAD_BYTES = 65536
-# How long what is there may take to be read.
-_LOOK_S = 0.001
-# A cut says nothing. What the peer does not acknowledge for so long, and two
-# unanswered probes after a rest, end the connection.
+# Time limit for reading data that has already arrived.
+_MIN_READ_TIMEOUT_S = 0.001
+# A network partition produces no FIN or RST. The connection therefore fails
+# when sent data is not acknowledged within this time, or when two keepalive
+# probes on an idle connection are not answered.
 _USER_TIMEOUT_MS = 1500
-_PROBE_AFTER_S = 1
-_PROBES = 2
+_KEEPALIVE_IDLE_S = 1
+_KEEPALIVE_PROBES = 2
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
 class Connection:
-    """A connection; made by ``connect``.
+    """A client connection; create it with ``connect``.
 
     Args:
         sock: The connected socket.
-        address: Of the server.
+        address: The address of the server, as ``HOST:PORT``.
 
     Attributes:
-        idle_s: How long it had been at rest before its latest use.
+        idle_s: How long it had been idle before its latest use.
     """
 
     def __init__(self, *, sock: socket.socket, address: str):
@@ -50,7 +51,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another exchange may follow the one that ended."""
+        """Whether the connection can carry another exchange."""
         written = self._writer is None or self._writer.ready()
         return (
             self._open
@@ -62,7 +63,7 @@
         )
 
     def is_stale(self) -> bool:
-        """Tells whether a connection at rest was closed or got stray bytes."""
+        """Returns whether an idle connection was closed or has unread input."""
         if not self._open:
             return True
         return _is_ready(self._sock, select.POLLIN)
@@ -79,134 +80,147 @@
         """Sends a request.
 
         Raises:
-            errors.BrokenConnectionError: The connection broke.
-            errors.PeerTimeoutError: The server does not read.
+            errors.BrokenConnectionError: The connection failed.
+            errors.PeerTimeoutError: The server did not read the request in
+                time.
         """
-        self._http = _parser()
+        self._http = _new_parser()
         self._request = [
             h11.Request(method=method, target=target, headers=headers),
             h11.EndOfMessage(),
         ]
         if body:
             self._request.insert(1, h11.Data(data=body))
-        data = self._arm()
+        data = self._encode_request()
         self._write_failed = False
-        if len(data) > _WRITE_ASIDE_BYTES:
-            self._writer = gevent.spawn(self._write_aside, data, timeout_s)
+        if len(data) > _BACKGROUND_WRITE_BYTES:
+            self._writer = gevent.spawn(
+                self._write_in_background, data, timeout_s
+            )
             return
         self._writer = None
         try:
             self._sock.settimeout(max(0.001, timeout_s))
             self._sock.sendall(data)
         except TimeoutError as exc:
-            raise errors.PeerTimeoutError("the server does not read") from exc
+            raise errors.PeerTimeoutError(
+                "server did not read the request in time"
+            ) from exc
         except OSError as exc:
-            raise errors.BrokenConnectionError(f"while sending: {exc}") from exc
+            raise errors.BrokenConnectionError(
+                f"sending failed: {exc}"
+            ) from exc
 
     def read_head(self, *, timeout_s: float) -> tuple[int, Headers]:
-        """Waits for an answer's head.
+        """Waits for the head of the response.
 
         Returns:
-            The status and the headers, names as the server wrote them.
+            The status and the headers, with the case of their names unchanged.
 
         Raises:
-            errors.BrokenConnectionError: The connection broke, or the data is
-                not valid HTTP.
-            errors.PeerTimeoutError: Nothing came in time.
+            errors.BrokenConnectionError: The connection failed or was
+                closed, or the data is not valid HTTP.
+            errors.PeerTimeoutError: No data arrived in time.
         """
-        until_s = boottime.now() + timeout_s
+        deadline_s = boottime.now() + timeout_s
         while True:
-            event = self._next(until_s)
+            event = self._next_event(deadline_s)
             if isinstance(event, h11.Response):
                 return event.status_code, tuple(event.headers.raw_items())
             if isinstance(event, h11.ConnectionClosed):
-                raise errors.BrokenConnectionError("closed without an answer")
+                raise errors.BrokenConnectionError(
+                    "connection closed without a response"
+                )
 
     def read_data(self, *, timeout_s: float) -> bytes | None:
-        """Waits for more of the body; None at its end.
+        """Waits for the next part of the body; returns None at its end.
 
         Raises:
-            errors.BrokenConnectionError: The answer is cut off.
-            errors.PeerTimeoutError: Nothing came in time.
+            errors.BrokenConnectionError: The response is truncated.
+            errors.PeerTimeoutError: No data arrived in time.
         """
-        event = self._next(boottime.now() + timeout_s)
+        event = self._next_event(boottime.now() + timeout_s)
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise errors.BrokenConnectionError(f"{type(event).__name__} in a body")
+        raise errors.BrokenConnectionError(
+            f"unexpected {type(event).__name__} in a response body"
+        )
 
     def skip_response(self, *, timeout_s: float) -> None:
-        """Reads an answer that belongs to an earlier request to its end.
+        """Discards a response that belongs to an earlier request.
 
-        Afterwards ``read_head`` waits for the answer proper.
+        ``read_head`` then waits for the response to the current request.
         """
-        until_s = boottime.now() + timeout_s
-        while self.read_data(timeout_s=until_s - boottime.now()) is not None:
+        deadline_s = boottime.now() + timeout_s
+        while self.read_data(timeout_s=deadline_s - boottime.now()) is not None:
             pass
         extra, closed = self._http.trailing_data
         if closed or self._http.their_state is not h11.DONE:
             raise errors.BrokenConnectionError(
-                "closed after another request's answer"
+                "connection closed after the response to an earlier request"
             )
-        self._http = _parser()
-        self._arm()
+        self._http = _new_parser()
+        self._encode_request()
         if extra:
             self._http.receive_data(extra)
 
     def has_input(self) -> bool:
-        """Tells whether something has come that was not read yet."""
+        """Returns whether unread data has arrived."""
         return self._open and _is_ready(self._sock, select.POLLIN)
 
     def shutdown(self) -> None:
-        """Ends the connection under whoever waits on it.
+        """Shuts the connection down while another greenlet may wait on it.
 
-        The waiter finds that the server closed it.
+        The waiting greenlet sees it as closed by the server.
         """
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # It has ended by itself, which the waiter finds as well.
+            # Already disconnected; the waiting greenlet sees this as well.
             return
 
     def close(self) -> None:
-        """Closes the connection; the server may drop what it works on."""
+        """Closes the connection; the server may abandon a pending request."""
         self._open = False
         if self._writer is not None:
             self._writer.kill(block=False)
         self._sock.close()
 
-    def _arm(self) -> bytes:
+    def _encode_request(self) -> bytes:
         parts = [self._http.send(event) for event in self._request]
         return b"".join(part for part in parts if part)
 
-    def _write_aside(self, data: bytes, timeout_s: float) -> None:
+    def _write_in_background(self, data: bytes, timeout_s: float) -> None:
         try:
             self._sock.settimeout(max(0.001, timeout_s))
             self._sock.sendall(data)
         except OSError:
-            # The reading side finds out what became of the exchange.
+            # Reported by the reading side, which learns how the exchange ended.
             self._write_failed = True
 
-    def _next(self, until_s: float) -> h11.Event:
+    def _next_event(self, deadline_s: float) -> h11.Event:
         while True:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as exc:
-                raise errors.BrokenConnectionError(f"no HTTP: {exc}") from exc
+                raise errors.BrokenConnectionError(
+                    f"invalid HTTP: {exc}"
+                ) from exc
             if event is h11.PAUSED:
                 raise errors.BrokenConnectionError(
-                    "bytes after the answer's end"
+                    "unexpected data after the end of the response"
                 )
             if event is not h11.NEED_DATA:
                 return event
-            self._receive(until_s)
+            self._feed_parser(deadline_s)
 
-    def _recv(self, timeout_s: float) -> bytes:
-        """Waits for bytes; looks once more when the time is over.
+    def _recv_available(self, timeout_s: float) -> bytes:
+        """Waits for data, and checks for input once more after a time-out.
 
-        A process that stood still finds its timers expired, and what came
-        meanwhile unread.
+        When a process resumes after a pause, its timers have expired and the
+        data that arrived meanwhile has not been read.
         """
         self._sock.settimeout(timeout_s)
         try:
@@ -216,31 +230,35 @@
                 raise
             return self._sock.recv(_READ_BYTES)
 
-    def _receive(self, until_s: float) -> None:
+    def _feed_parser(self, deadline_s: float) -> None:
         if not self._open:
-            raise errors.BrokenConnectionError("closed by this end")
-        left_s = until_s - boottime.now()
-        # An answer that is there is read also late: a process that stood still
-        # finds its time over and the answer waiting.
-        if left_s <= 0 and not self.has_input():
-            raise errors.PeerTimeoutError("no answer in time")
+            raise errors.BrokenConnectionError("connection was closed locally")
+        remaining_s = deadline_s - boottime.now()
+        # Data that has arrived is read even after the deadline: when a process
+        # resumes after a pause, the time is over and the response is waiting.
+        if remaining_s <= 0 and not self.has_input():
+            raise errors.PeerTimeoutError("no response within the time limit")
         try:
-            data = self._recv(max(left_s, _LOOK_S))
+            data = self._recv_available(max(remaining_s, _MIN_READ_TIMEOUT_S))
         except TimeoutError as exc:
-            raise errors.PeerTimeoutError("no answer in time") from exc
+            raise errors.PeerTimeoutError(
+                "no response within the time limit"
+            ) from exc
         except OSError as exc:
-            raise errors.BrokenConnectionError(f"while reading: {exc}") from exc
+            raise errors.BrokenConnectionError(
+                f"reading failed: {exc}"
+            ) from exc
         try:
             self._http.receive_data(data)
         except h11.RemoteProtocolError as exc:
-            raise errors.BrokenConnectionError(f"no HTTP: {exc}") from exc
+            raise errors.BrokenConnectionError(f"invalid HTTP: {exc}") from exc
 
 
 def connect(address: str, *, timeout_s: float) -> Connection:
     """Connects to a server.
 
     Raises:
-        errors.ConnectError: No connection came about.
+        errors.ConnectError: The connection could not be established.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -249,7 +267,7 @@
         sock.settimeout(max(0.001, timeout_s))
         sock.connect((host, int(port)))
     except TimeoutError as exc:
-        if not _came_about(sock):
+        if not _is_connected(sock):
             sock.close()
             raise errors.ConnectError(
                 f"{address}: {exc}", timed_out=True
@@ -260,17 +278,24 @@
     return Connection(sock=sock, address=address)
 
 
-def _came_about(sock: socket.socket) -> bool:
-    """Looks once more: a process that stood still finds its timers expired."""
+def _is_connected(sock: socket.socket) -> bool:
+    """Returns whether the connect has succeeded in spite of a time-out.
+
+    When a process resumes after a pause, its timers have expired although the
+    connection may have been established.
+    """
     if not _is_ready(sock, select.POLLOUT):
         return False
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
 
 
-def _is_ready(sock: socket.socket, what: int) -> bool:
-    """Looks without waiting; by poll, as select takes only 1,024 files."""
+def _is_ready(sock: socket.socket, events: int) -> bool:
+    """Polls a socket without waiting.
+
+    Uses poll, because select supports only file descriptors below 1,024.
+    """
     poll = select.poll()
-    poll.register(sock, what)
+    poll.register(sock, events)
     return bool(poll.poll(0))
 
 
@@ -279,13 +304,13 @@
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
     ]
     for level, name, value in options:
         sock.setsockopt(level, name, value)
 
 
-def _parser() -> h11.Connection:
+def _new_parser() -> h11.Connection:
     return h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
--- a/irisshelf/transport/errors.py
+++ b/irisshelf/transport/errors.py
@@ -1,18 +1,19 @@
-"""Errors of the transport."""
+"""Errors of the HTTP transport."""
 
 from __future__ import annotations
 
 
 class TransportError(Exception):
-    """A connection that did not do what it should."""
+    """Base class for failures of a connection to a peer."""
 
 
 class ConnectError(TransportError):
-    """No connection came about; nothing was sent.
+    """No connection could be established; nothing was sent.
 
     Args:
-        detail: For people.
-        timed_out: Whether the peer said nothing at all, rather than refuse.
+        detail: A description for logs and error messages.
+        timed_out: Whether the peer did not respond at all, as opposed to
+            refusing the connection.
     """
 
     def __init__(self, detail: str, *, timed_out: bool = False):
@@ -21,15 +22,15 @@
 
 
 class BrokenConnectionError(TransportError):
-    """The peer broke the connection, or sent what is no HTTP."""
+    """The connection was closed or failed, or the data is not valid HTTP."""
 
 
 class PeerTimeoutError(TransportError):
-    """The peer sent nothing in time."""
+    """The peer did not send or read data within the time limit."""
 
 
 class UnreachableError(TransportError):
-    """The peer is silent, and new connections to it do not come about."""
+    """The peer does not respond, and new connections to it fail."""
 
 
 class CallerDisconnectedError(Exception):
@@ -37,4 +38,4 @@
 
 
 class CloseIdleError(Exception):
-    """The instance wants to close a connection that is at rest."""
+    """Raised in an idle connection's greenlet when the instance closes it."""
--- a/irisshelf/transport/server.py
+++ b/irisshelf/transport/server.py
@@ -1,4 +1,4 @@
-"""One caller's HTTP/1.1 connection: requests in, answers out."""
+"""An HTTP/1.1 server connection: reads requests and sends responses."""
 
 from __future__ import annotations
 
@@ -15,21 +15,30 @@
 from irisshelf.transport import errors
 
 _READ_BYTES = 65536
-# A caller that has sent so much ahead of its answer is not read any further.
-_MAX_AHEAD_BYTES = 65536
-# How long a caller may take to take in a part of an answer.
-_WRITE_S = 10.0
-# A closed connection is read this long, so that no reset destroys an answer
-# that the caller has not read yet.
+# No more data is read from a caller that has sent this much before it received
+# the response to its current request.
+_MAX_PIPELINED_BYTES = 65536
+# Time limit for a caller to read one part of a response.
+_WRITE_TIMEOUT_S = 10.0
+# Before a socket is closed, input is read and discarded until none arrives for
+# this long: closing it with unread input sends a reset, which discards a
+# response that the caller has not read yet.
 _LINGER_S = 0.5
 _UNAVAILABLE = 503
-# Seconds; another instance may have room at once.
-_FULL_RETRY = b"0.1"
+# In seconds. Short, because another instance may have capacity at once.
+_RETRY_AFTER_S = b"0.1"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Limits:
-    """What a caller may send, and how slowly."""
+    """Size and time limits for the requests of a caller.
+
+    Attributes:
+        head_bytes: Maximum size of a request head.
+        body_bytes: Maximum size of a request body.
+        head_s: Time limit for a request head, from its first byte.
+        idle_s: Time limit for an idle connection, and for each read of a body.
+    """
 
     head_bytes: int
     body_bytes: int
@@ -39,16 +48,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """A whole request.
+    """A complete request.
 
     Attributes:
-        method: Such as ``POST``.
+        method: The HTTP method, such as ``POST``.
         target: Path and query, unchanged.
-        headers: Names and values as the caller wrote them.
-        body: The body, unframed.
-        has_body: Whether a body was framed, though it may be empty.
-        arrived_s: When the head was whole, monotonic seconds.
-        connection_reused: Whether the connection had been used before.
+        headers: Names and values as sent; the case of names is unchanged.
+        body: The body without its transfer framing.
+        has_body: Whether the headers announce a body, which may be empty.
+        arrived_s: Time at which the head was complete, monotonic seconds.
+        connection_reused: Whether the connection has served a request before.
     """
 
     method: str
@@ -73,14 +82,14 @@
 
 
 class Connection:
-    """Serves one connection.
+    """Serves the requests on one connection.
 
     Args:
         sock: The accepted socket.
-        limits: Tells the limits now.
-        handle: Answers a request by the methods of this connection.
-        refuse: Builds the body and headers of an answer to a request that
-            could not be read: takes the status and a text.
+        limits: Returns the limits currently in force.
+        handle: Handles a request and responds through this connection.
+        refuse: Returns the headers and body of an error response, given the
+            status and a text.
     """
 
     def __init__(
@@ -98,10 +107,10 @@
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits().head_bytes
         )
-        self._out = b""
+        self._output = b""
         self._phase = _Phase.IDLE
-        self._ahead = b""
-        self._kept = False
+        self._pipelined = b""
+        self._reused = False
         self._close_after = False
         self._aborted = False
         self._greenlet = gevent.getcurrent()
@@ -111,7 +120,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the connection is at rest between requests."""
+        """Whether the connection is between requests."""
         return self._phase is _Phase.IDLE
 
     def serve(self) -> None:
@@ -121,41 +130,44 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
             while self._serve_one():
-                self._kept = True
+                self._reused = True
         except (OSError, errors.CallerDisconnectedError, errors.CloseIdleError):
-            # The caller left, or a planned stop closes what is at rest.
+            # The caller disconnected, or a shutdown closes idle connections.
             pass
         except h11.LocalProtocolError:
             self.abort()
             raise
         finally:
             self._stop_watching()
-            self._end()
+            self._close_socket()
 
     def reject_over_limit(self) -> None:
-        """Answers the first request that it may not be served here."""
-        self._handle = self._answer_full
+        """Makes the connection answer its first request with status 503.
+
+        Used for connections above the connection limit.
+        """
+        self._handle = self._reject_request
 
-    def _answer_full(self, request: Request, conn: Connection) -> None:
+    def _reject_request(self, request: Request, conn: Connection) -> None:
         self._close_after = True
         text = "too many connections"
         headers, body = self._refuse(_UNAVAILABLE, text)
-        headers = [*headers, (b"Retry-After", _FULL_RETRY)]
+        headers = [*headers, (b"Retry-After", _RETRY_AFTER_S)]
         self.answer(_UNAVAILABLE, headers, body)
 
     def close_after_answer(self) -> None:
-        """Announces that the connection ends with its next answer."""
+        """Closes the connection after the next response, which announces it."""
         self._close_after = True
 
     def close_if_idle(self) -> None:
-        """Closes the connection if it is at rest."""
+        """Closes the connection if it is idle."""
         if self.idle:
             self._greenlet.kill(errors.CloseIdleError, block=False)
 
     def answer(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response."""
         framed = [*headers, (b"Content-Length", str(len(body)).encode())]
         self._start(status, framed)
         if body:
@@ -164,38 +176,41 @@
         self._flush()
 
     def begin(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Sends the head of an answer of unknown length."""
+        """Sends the head of a response of unknown length."""
         self._start(status, [*headers, (b"Transfer-Encoding", b"chunked")])
         self._flush()
 
     def write(self, data: bytes) -> None:
-        """Sends a part of an answer at once."""
+        """Sends a part of the response immediately."""
         self._queue(h11.Data(data=data))
         self._flush()
 
     def end(self) -> None:
-        """Ends an answer as whole."""
+        """Marks the response as complete."""
         self._queue(h11.EndOfMessage())
         self._flush()
 
     def abort(self) -> None:
-        """Breaks the answer off, so that it cannot be taken for whole."""
+        """Makes the connection close without the end of the response.
+
+        The caller can then tell that the response is incomplete.
+        """
         self._aborted = True
 
     def ignore_disconnect(self) -> None:
-        """From now on the work goes on though the caller leaves."""
+        """Lets the handler continue even if the caller disconnects."""
         self._stop_watching()
 
     def _serve_one(self) -> bool:
         try:
             request = self._read_request()
         except _BadRequestError as exc:
-            self._turn_down(exc)
+            self._send_error(exc)
             return False
         if request is None:
             return False
         self._phase = _Phase.ANSWERING
-        self._watch()
+        self._start_watching()
         try:
             self._handle(request, self)
         finally:
@@ -210,9 +225,9 @@
         if self._aborted or self._close_after or not done:
             return False
         self._http.start_next_cycle()
-        if self._ahead:
-            self._http.receive_data(self._ahead)
-            self._ahead = b""
+        if self._pipelined:
+            self._http.receive_data(self._pipelined)
+            self._pipelined = b""
         self.response_started = False
         self._phase = _Phase.IDLE
         return True
@@ -221,7 +236,7 @@
         self.response_started = True
         if self._close_after:
             headers = [*headers, (b"Connection", b"close")]
-        self._out = b""
+        self._output = b""
         self._queue(
             h11.Response(
                 status_code=status, headers=headers, reason=_reason(status)
@@ -229,11 +244,11 @@
         )
 
     def _queue(self, event: h11.Event) -> None:
-        self._out += self._http.send(event) or b""
+        self._output += self._http.send(event) or b""
 
     def _flush(self) -> None:
-        data, self._out = self._out, b""
-        self._sock.settimeout(_WRITE_S)
+        data, self._output = self._output, b""
+        self._sock.settimeout(_WRITE_TIMEOUT_S)
         self._sock.sendall(data)
 
     def _read_request(self) -> Request | None:
@@ -245,7 +260,7 @@
         headers = tuple(head.headers.raw_items())
         has_body = _check_framing(headers, limits)
         if self._http.they_are_waiting_for_100_continue:
-            self._out = b""
+            self._output = b""
             self._queue(h11.InformationalResponse(status_code=100, headers=[]))
             self._flush()
         body = self._read_body(limits)
@@ -256,11 +271,11 @@
             body=body,
             has_body=has_body,
             arrived_s=arrived_s,
-            connection_reused=self._kept,
+            connection_reused=self._reused,
         )
 
     def _read_head(self, limits: Limits) -> h11.Request | None:
-        until_s = boottime.now() + limits.idle_s
+        deadline_s = boottime.now() + limits.idle_s
         while True:
             try:
                 event = self._http.next_event()
@@ -271,22 +286,26 @@
             if isinstance(event, h11.ConnectionClosed):
                 return None
             if event is not h11.NEED_DATA:
-                raise _BadRequestError(400, f"{event!r} before a request")
-            data = self._receive(until_s)
+                raise _BadRequestError(
+                    400, f"unexpected {event!r} before a request"
+                )
+            data = self._receive(deadline_s)
             if data is None and self.idle:
                 return None
             if data is None:
-                raise _BadRequestError(408, f"no head in {limits.head_s} s")
+                raise _BadRequestError(
+                    408, f"no complete request head within {limits.head_s} s"
+                )
             if self.idle and data:
                 self._phase = _Phase.READING
-                until_s = boottime.now() + limits.head_s
+                deadline_s = boottime.now() + limits.head_s
             self._feed(data)
 
     def _read_body(self, limits: Limits) -> bytes:
         parts = []
         size = 0
         while True:
-            until_s = boottime.now() + limits.idle_s
+            deadline_s = boottime.now() + limits.idle_s
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as exc:
@@ -296,12 +315,14 @@
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > limits.body_bytes:
-                    raise _too_long(size, limits)
+                    raise _body_too_large(size, limits)
                 parts.append(bytes(event.data))
             elif event is h11.NEED_DATA:
-                data = self._receive(until_s)
+                data = self._receive(deadline_s)
                 if data is None:
-                    raise _BadRequestError(408, "the body stopped coming in")
+                    raise _BadRequestError(
+                        408, "timed out while reading the request body"
+                    )
                 self._feed(data)
             else:
                 raise errors.CallerDisconnectedError
@@ -312,18 +333,18 @@
         except h11.RemoteProtocolError as exc:
             raise _BadRequestError(exc.error_status_hint, str(exc)) from exc
 
-    def _receive(self, until_s: float) -> bytes | None:
-        left_s = until_s - boottime.now()
-        if left_s <= 0:
+    def _receive(self, deadline_s: float) -> bytes | None:
+        remaining_s = deadline_s - boottime.now()
+        if remaining_s <= 0:
             return None
-        self._sock.settimeout(left_s)
+        self._sock.settimeout(remaining_s)
         try:
             return self._sock.recv(_READ_BYTES)
         except TimeoutError:
             return None
 
-    def _turn_down(self, problem: _BadRequestError) -> None:
-        """Answers what could not be read; the connection then closes."""
+    def _send_error(self, problem: _BadRequestError) -> None:
+        """Sends an error response to an unreadable request, then closes."""
         if self._http.our_state is not h11.SEND_RESPONSE and (
             self._http.our_state is not h11.IDLE
         ):
@@ -332,15 +353,16 @@
         headers, body = self._refuse(problem.status, str(problem))
         self.answer(problem.status, headers, body)
 
-    def _watch(self) -> None:
-        """Notices when the caller leaves while it is being answered."""
+    def _start_watching(self) -> None:
+        """Starts to watch for a disconnect while a request is handled."""
         self._watching = True
-        self._watcher = gevent.spawn(self._watch_caller)
+        self._watcher = gevent.spawn(self._watch_for_disconnect)
 
-    def _watch_caller(self) -> None:
-        while len(self._ahead) < _MAX_AHEAD_BYTES:
+    def _watch_for_disconnect(self) -> None:
+        while len(self._pipelined) < _MAX_PIPELINED_BYTES:
             try:
-                # The timeout of the socket belongs to its writer.
+                # The socket's time-out is set by the writer, so it cannot be
+                # used for reading here.
                 socket.wait_read(self._sock.fileno())
                 data = self._sock.recv(_READ_BYTES)
             except TimeoutError:
@@ -349,7 +371,7 @@
                 data = b""
             if not data:
                 break
-            self._ahead += data
+            self._pipelined += data
         else:
             return
         if self._watching:
@@ -361,7 +383,7 @@
         if watcher is not None and watcher is not gevent.getcurrent():
             watcher.kill(block=True)
 
-    def _end(self) -> None:
+    def _close_socket(self) -> None:
         try:
             if self._aborted:
                 self._sock.close()
@@ -380,18 +402,21 @@
 def _check_framing(
     headers: tuple[tuple[bytes, bytes], ...], limits: Limits
 ) -> bool:
-    """Returns whether a body is framed; two framings may hide a request."""
+    """Returns whether the headers announce a body.
+
+    Ambiguous framing is rejected, since it allows request smuggling.
+    """
     names = [name.lower() for name, _ in headers]
     chunked = b"transfer-encoding" in names
     lengths = [v for n, v in headers if n.lower() == b"content-length"]
     if chunked and lengths:
         raise _BadRequestError(
-            400, "both Content-Length and Transfer-Encoding, allowed: one"
+            400, "both Content-Length and Transfer-Encoding given, allowed: one"
         )
     if names.count(b"host") > 1:
         raise _BadRequestError(400, "more than one Host header")
     if lengths and int(lengths[0]) > limits.body_bytes:
-        raise _too_long(int(lengths[0]), limits)
+        raise _body_too_large(int(lengths[0]), limits)
     return chunked or bool(lengths)
 
 
@@ -402,7 +427,7 @@
         return b""
 
 
-def _too_long(size: int, limits: Limits) -> _BadRequestError:
+def _body_too_large(size: int, limits: Limits) -> _BadRequestError:
     return _BadRequestError(
         413, f"body has {size} bytes or more, allowed: {limits.body_bytes}"
     )
