--- a/irisshelf/tests/test_engine_client.py
+++ b/irisshelf/tests/test_engine_client.py
@@ -1,4 +1,4 @@
-"""The engine client beside streams: load, cache events, orders, KV cache."""
+"""Engine client without streams: load, cache events, orders, KV cache."""
 
 import json
 
@@ -15,8 +15,8 @@
 
 
 @pytest.fixture
-def rig():
-    """A pool, an engine server and its address."""
+def engine_server():
+    """A client pool, a fake engine server and its address."""
     server = fake_engine.FakeEngineServer(
         engines=("e0", "e1"), cfg=fake_engine.EngineConfig(token_s=0.0)
     )
@@ -25,8 +25,8 @@
     served.stop()
 
 
-def _garbage(body):
-    """A server that answers everything with these bytes."""
+def _serve_bytes(body):
+    """Starts a server that responds to every request with these bytes."""
 
     def app(environ, start_response):
         start_response("200 OK", [])
@@ -44,34 +44,38 @@
     )
 
 
-def test_a_report_names_every_engine_and_is_counted(rig):
-    clients, server, address = rig
+def test_load_report_lists_every_engine_and_its_bytes_are_counted(
+    engine_server,
+):
+    clients, server, address = engine_server
     server.draining = True
     counted = []
-    found = engine.fetch_load_report(
+    report = engine.fetch_load_report(
         clients,
         address,
         timeout_s=_S,
         count=lambda kind, size: counted.append((kind, size)),
     ).unwrap()
-    assert found.draining
-    assert sorted(found.engines) == ["e0", "e1"]
+    assert report.draining
+    assert sorted(report.engines) == ["e0", "e1"]
     assert counted[0][0] == "probe"
     assert counted[0][1] > len(json.dumps(server._load()))
 
 
 @pytest.mark.parametrize(
-    ("fences", "checks", "accepted"),
+    ("fences", "checks_fencing", "accepted"),
     [
         ((1, 2, 2), True, [True, True, True]),
         ((3, 2, 4), True, [True, False, True]),
         ((3, 2, 4), False, [True, True, True]),
     ],
 )
-def test_orders_carry_their_fence(rig, fences, checks, accepted):
-    clients, server, address = rig
-    server.checks_fencing = checks
-    found = [
+def test_orders_carry_their_fencing_number(
+    engine_server, fences, checks_fencing, accepted
+):
+    clients, server, address = engine_server
+    server.checks_fencing = checks_fencing
+    results = [
         engine.send_order(
             clients,
             address,
@@ -81,13 +85,13 @@
         )
         for i, fence in enumerate(fences)
     ]
-    assert [item.is_ok() for item in found] == accepted
-    refused = [item.err_value for item in found if item.is_err()]
+    assert [item.is_ok() for item in results] == accepted
+    refused = [item.err_value for item in results if item.is_err()]
     assert all(e.outcome is outcome.Outcome.NOT_RUN for e in refused)
 
 
-def test_an_order_given_twice_is_carried_out_once(rig):
-    clients, server, address = rig
+def test_repeated_order_is_executed_once(engine_server):
+    clients, server, address = engine_server
     for _ in range(2):
         engine.send_order(
             clients, address, engine="e0", order=_order(1), timeout_s=_S
@@ -95,8 +99,8 @@
     assert len(server.engines["e0"].orders) == 1
 
 
-def test_a_prefix_moves_from_one_engine_to_another(rig):
-    clients, server, address = rig
+def test_prefix_cache_is_transferred_between_engines(engine_server):
+    clients, server, address = engine_server
     server.engines["e0"].kv["chat/1"] = b"\x00kv" * 1000
     data = engine.export_kv(
         clients, address, engine="e0", key="chat/1", timeout_s=_S
@@ -111,31 +115,35 @@
     assert missing.is_err()
 
 
-def test_cache_events_come_with_a_gap_when_they_are_read_late(rig):
-    clients, server, address = rig
-    one = server.engines["e0"]
+def test_cache_events_read_late_have_a_gap(engine_server):
+    clients, server, address = engine_server
+    first_engine = server.engines["e0"]
 
     def events(since):
         return engine.fetch_cache_events(
             clients, address, engine="e0", since=since, timeout_s=_S
         ).unwrap()
 
-    messages_ = [{"role": "user", "content": "hello there"}]
-    one.start(attempt_id="a", body={"messages": messages_, "max_tokens": 1})
+    prompt = [{"role": "user", "content": "hello there"}]
+    first_engine.start(
+        attempt_id="a", body={"messages": prompt, "max_tokens": 1}
+    )
     first = events(0)
     assert (first.first, len(first.added)) == (0, first.next)
     for i in range(600):
         text = [{"role": "user", "content": f"chat {i}"}]
-        one.start(attempt_id=f"a{i}", body={"messages": text, "max_tokens": 1})
+        first_engine.start(
+            attempt_id=f"a{i}", body={"messages": text, "max_tokens": 1}
+        )
     late = events(first.next)
-    assert late.first > first.next  # What lies between is lost.
+    assert late.first > first.next  # Events in between are lost.
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"[]", b'{"engines": 3, "draining": 0}', b"\xff" * 100]
 )
-def test_garbage_is_an_error_and_no_crash(body):
-    served = _garbage(body)
+def test_malformed_response_is_returned_as_an_error(body):
+    served = _serve_bytes(body)
     clients = pool.ClientPool()
     address = served.address
     calls = [
@@ -151,7 +159,7 @@
     served.stop()
 
 
-def test_clients_of_instances_that_are_gone_are_forgotten():
+def test_clients_of_removed_instances_are_dropped():
     clients = pool.ClientPool()
     limits = {"connect_s": _S, "idle_s": _S}
     first = clients.peer_client("127.0.0.1:1", **limits)
--- a/irisshelf/tests/test_transport.py
+++ b/irisshelf/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""The client side of a connection: time-outs, refusals, silence."""
+"""Client connections: time-outs, refused and unanswered connects."""
 
 import resource
 import time
@@ -14,45 +14,46 @@
 _ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
-def test_what_came_while_the_process_stood_still_counts():
-    near, far = socket.socketpair()
-    conn = client.Connection(sock=near, address="peer")
+def test_data_that_arrived_during_a_process_pause_is_read():
+    local, remote = socket.socketpair()
+    conn = client.Connection(sock=local, address="peer")
     reader = gevent.spawn(conn.read_head, timeout_s=0.01)
     gevent.sleep(0)
-    # Not a greenlet's sleep: the whole process stands still.
+    # Blocks the whole process, unlike gevent.sleep.
     time.sleep(0.05)
-    far.sendall(_ANSWER)
+    remote.sendall(_ANSWER)
     status, _ = reader.get()
     assert status == 200
 
 
-@pytest.mark.parametrize("silent", [True, False])
-def test_a_failed_connect_tells_silence_from_refusal(silent):
+@pytest.mark.parametrize("timed_out", [True, False])
+def test_failed_connect_distinguishes_time_out_from_refusal(timed_out):
     peer = socket.socket()
     peer.bind(("127.0.0.1", 0))
     address = f"127.0.0.1:{peer.getsockname()[1]}"
-    if silent:
-        # Nobody accepts: a full queue of connections drops what comes then.
+    if timed_out:
+        # Nothing accepts: when the backlog is full, the kernel drops further
+        # connection attempts.
         peer.listen(0)
-    held = []
-    with pytest.raises(errors.ConnectError) as caught:
+    conns = []
+    with pytest.raises(errors.ConnectError) as raised:
         for _ in range(5):
-            held.append(client.connect(address, timeout_s=0.05))
-    assert caught.value.timed_out is silent
+            conns.append(client.connect(address, timeout_s=0.05))
+    assert raised.value.timed_out is timed_out
     peer.close()
 
 
-def test_a_resting_connection_is_looked_at_whatever_its_number():
-    """An instance may hold more files open than select can take."""
+def test_idle_connection_is_checked_with_descriptors_over_1024():
+    """Instances may open more files than select supports."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < 1100:
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(1200, hard), hard))
     pairs = [socket.socketpair() for _ in range(520)]
-    near, far = pairs[-1]
-    assert near.fileno() > 1024
-    conn = client.Connection(sock=near, address="peer")
+    local, remote = pairs[-1]
+    assert local.fileno() > 1024
+    conn = client.Connection(sock=local, address="peer")
     assert not conn.is_stale()
-    far.close()
+    remote.close()
     assert conn.is_stale()
     for one, other in pairs:
         one.close()
@@ -60,8 +61,8 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, -0.5, -60.0])
-def test_an_answer_that_is_there_is_read_though_its_time_is_over(late_s):
-    """A process that stood still finds both: no time left, and the answer."""
+def test_response_that_has_arrived_is_read_after_the_deadline(late_s):
+    """After a process pause, the time is over and the response has arrived."""
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 
     def answer(sock, peer):
@@ -84,24 +85,27 @@
 
 
 @pytest.mark.parametrize("timeout_s", [-1.0, 0.0, 0.01, 5.0])
-@pytest.mark.parametrize("late", [True, False])
-def test_a_connection_that_this_end_closes_is_a_typed_error(timeout_s, late):
-    """Seen: what follows the store's list ended with an untyped error.
-
-    An instance stood still while the call on one table failed and closed the
-    connection of the other one, whose time was over at the same moment. The
-    instance never heard of a server again.
+@pytest.mark.parametrize("close_while_reading", [True, False])
+def test_reading_from_a_locally_closed_connection_raises_transport_error(
+    timeout_s, close_while_reading
+):
+    """Guards against an untyped error that ended the store's update feed.
+
+    During a process pause, a failed call for one table closed the connection
+    of the other table as its deadline expired. The reader raised an error that
+    the feed does not handle, and the instance received no more server updates.
     """
-    near, far = socket.socketpair()
-    conn = client.Connection(sock=near, address="peer")
-    if not late:
+    local, remote = socket.socketpair()
+    conn = client.Connection(sock=local, address="peer")
+    if not close_while_reading:
         conn.close()
     reader = gevent.spawn(conn.read_head, timeout_s=timeout_s)
     gevent.spawn(conn.close)
-    if late:
+    if close_while_reading:
         gevent.sleep(0)
-        # Not a greenlet's sleep: time is over as the connection is closed.
+        # Blocks the process, so that the deadline expires as the connection
+        # is closed.
         time.sleep(0.02)
     with pytest.raises(errors.TransportError):
         reader.get(timeout=10)
-    far.close()
+    remote.close()
