--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -86,10 +86,10 @@
     client = clients.client(
         address, connect_s=limits.connect_s, idle_s=limits.idle_s
     )
-    sent = send(client)
-    if isinstance(sent, result.Err):
-        return sent
-    response = sent.ok_value
+    received = send(client)
+    if isinstance(received, result.Err):
+        return received
+    response = received.ok_value
     if response.status_code != _OK:
         return result.Err(dispatch.error_from_response(response))
     return result.Ok(
@@ -109,10 +109,10 @@
     client = clients.client(
         call.address, connect_s=_CANCEL_CONNECT_S, idle_s=_CANCEL_IDLE_S
     )
-    sent = dispatch.request("DELETE", _stream_path(call), client)
-    if isinstance(sent, result.Err):
-        return sent
-    return dispatch.read_all(sent.ok_value).map(lambda _: None)
+    received = dispatch.request("DELETE", _stream_path(call), client)
+    if isinstance(received, result.Err):
+        return received
+    return dispatch.read_all(received.ok_value).map(lambda _: None)
 
 
 def fetch_load_report(
@@ -128,15 +128,15 @@
         clients: Pooled HTTP clients.
         address: The server's address.
         timeout_s: Time limit for the connect and for each read.
-        count: Called with the size of the exchange in bytes.
+        count: Called with the kind and size in bytes of the exchange.
 
     Returns:
         The report, or the error.
     """
-    answer = _get_json(
+    document = _get_json(
         clients, address, "/load", timeout_s=timeout_s, count=count
     )
-    return answer.and_then(_decode_report)
+    return document.and_then(_decode_report)
 
 
 def fetch_cache_events(
@@ -149,8 +149,8 @@
 ) -> result.Result[messages.CacheEvents, errors.CallError]:
     """Fetches an engine's cache events, from sequence number ``since``."""
     path = f"/engines/{urllib.parse.quote(engine)}/cache_events?since={since}"
-    answer = _get_json(clients, address, path, timeout_s=timeout_s)
-    return answer.and_then(_decode_events)
+    document = _get_json(clients, address, path, timeout_s=timeout_s)
+    return document.and_then(_decode_events)
 
 
 def send_order(
@@ -172,12 +172,12 @@
         }
     ).encode()
     path = f"/engines/{urllib.parse.quote(engine)}/orders"
-    sent = dispatch.request("POST", path, client, body=body)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.error_from_response(sent.ok_value))
-    return dispatch.read_all(sent.ok_value).map(lambda _: None)
+    received = dispatch.request("POST", path, client, body=body)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    return dispatch.read_all(received.ok_value).map(lambda _: None)
 
 
 def export_kv(
@@ -190,12 +190,12 @@
 ) -> result.Result[bytes, errors.CallError]:
     """Fetches the KV cache of a prompt prefix from an engine."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
-    sent = dispatch.request("GET", _kv_path(engine, key), client)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.error_from_response(sent.ok_value))
-    return dispatch.read_all(sent.ok_value)
+    received = dispatch.request("GET", _kv_path(engine, key), client)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    return dispatch.read_all(received.ok_value)
 
 
 def import_kv(
@@ -209,12 +209,12 @@
 ) -> result.Result[None, errors.CallError]:
     """Stores the KV cache of a prompt prefix, exported by another engine."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
-    sent = dispatch.request("PUT", _kv_path(engine, key), client, body=data)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.error_from_response(sent.ok_value))
-    return dispatch.read_all(sent.ok_value).map(lambda _: None)
+    received = dispatch.request("PUT", _kv_path(engine, key), client, body=data)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    return dispatch.read_all(received.ok_value).map(lambda _: None)
 
 
 def _stream_path(call: messages.CancelCall | messages.ResumeCall) -> str:
@@ -238,15 +238,15 @@
     count: traffic.Count | None = None,
 ) -> result.Result[Any, errors.CallError]:
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
-    sent = dispatch.request("GET", path, client)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.error_from_response(sent.ok_value))
-    content = dispatch.read_all(sent.ok_value)
+    received = dispatch.request("GET", path, client)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    content = dispatch.read_all(received.ok_value)
     if count is not None:
         size = traffic.of_exchange(
-            path, b"", sent.ok_value, content.unwrap_or(b"")
+            path, b"", received.ok_value, content.unwrap_or(b"")
         )
         count("probe", size)
     return content.and_then(dispatch.decode_json)
--- a/irisshelf/backends/relay.py
+++ b/irisshelf/backends/relay.py
@@ -38,10 +38,10 @@
             messages.Header.TIMESTAMP.value: call.timestamp,
         },
     )
-    sent = send(client)
-    if isinstance(sent, result.Err):
-        return sent
-    response = sent.ok_value
+    received = send(client)
+    if isinstance(received, result.Err):
+        return received
+    response = received.ok_value
     if response.status_code != _OK:
         return result.Err(_error_from_response(response))
     head = engine_stream.parse_head(response)
--- a/irisshelf/backends/service.py
+++ b/irisshelf/backends/service.py
@@ -48,12 +48,12 @@
         messages.Header.ATTEMPT_ID.value: call.attempt_id,
     }
     try:
-        sent = dispatch.request(
+        received = dispatch.request(
             call.method, call.path, client, body=call.body, headers=headers
         )
-        if isinstance(sent, result.Err):
-            return sent
-        return _read_response(call, sent.ok_value)
+        if isinstance(received, result.Err):
+            return received
+        return _read_response(call, received.ok_value)
     finally:
         client.close()
 
--- a/irisshelf/tests/test_engine_client.py
+++ b/irisshelf/tests/test_engine_client.py
@@ -146,7 +146,7 @@
     served = _serve_bytes(body)
     clients = pool.ClientPool()
     address = served.address
-    calls = [
+    results = [
         engine.fetch_load_report(
             clients, address, timeout_s=_S, count=lambda kind, size: None
         ),
@@ -154,8 +154,8 @@
             clients, address, engine="e0", since=0, timeout_s=_S
         ),
     ]
-    for answer in calls:
-        assert answer.err_value.cause is outcome.Cause.GARBLED
+    for failed in results:
+        assert failed.err_value.cause is outcome.Cause.GARBLED
     served.stop()
 
 
