--- a/irisshelf/backends/dispatch.py
+++ b/irisshelf/backends/dispatch.py
@@ -108,7 +108,7 @@
         ),
         cause=outcome.Cause.REFUSED,
         draining=draining,
-        detail=f"server sent status {response.status_code}: {detail!r}",
+        detail=f"status {response.status_code}: {detail!r}",
     )
 
 
@@ -117,9 +117,7 @@
     try:
         return result.Ok(json.loads(data))
     except (ValueError, RecursionError) as exc:
-        return result.Err(
-            malformed_response(f"response is not valid JSON: {exc}")
-        )
+        return result.Err(malformed_response(f"no JSON: {exc}"))
 
 
 def malformed_response(detail: str) -> errors.CallError:
--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -70,7 +70,7 @@
             errors.CallError(
                 outcome=outcome.Outcome.UNKNOWN,
                 cause=outcome.Cause.GARBLED,
-                detail="server resumed a different generation than requested",
+                detail="resumed another generation",
             )
         )
     return opened
--- a/irisshelf/backends/engine_stream.py
+++ b/irisshelf/backends/engine_stream.py
@@ -151,7 +151,7 @@
     return errors.CallError(
         outcome=outcome.Outcome.UNKNOWN,
         cause=outcome.Cause.GARBLED,
-        detail=f"invalid event in the engine's stream: {verdict}",
+        detail=f"the engine's stream is wrong: {verdict}",
     )
 
 
@@ -159,5 +159,5 @@
     return errors.CallError(
         outcome=outcome.Outcome.UNKNOWN,
         cause=outcome.Cause.BROKEN,
-        detail=f"stream truncated: ended {len(event)} bytes into an event",
+        detail=f"the engine's stream ended {len(event)} bytes into an event",
     )
--- a/irisshelf/backends/relay.py
+++ b/irisshelf/backends/relay.py
@@ -70,5 +70,5 @@
         ),
         cause=outcome.Cause.REFUSED,
         redirect_target=redirect_target if not_run else "",
-        detail=f"owner sent status {response.status_code}: {detail!r}",
+        detail=f"owner answered {response.status_code}: {detail!r}",
     )
--- a/irisshelf/backends/service.py
+++ b/irisshelf/backends/service.py
@@ -68,8 +68,7 @@
         response.release()
         return result.Err(
             dispatch.malformed_response(
-                f"response has attempt id {echoed!r},"
-                f" expected {call.attempt_id!r}"
+                f"echoed attempt id is {echoed!r}, not {call.attempt_id!r}"
             )
         )
     body = _read_limited(response, call.limits.max_body_bytes)
@@ -112,12 +111,14 @@
     if len(body) > limit:
         response.release()
         return result.Err(
-            dispatch.malformed_response(f"response body exceeds {limit} bytes")
+            dispatch.malformed_response(
+                f"answer is over {limit} bytes, the limit"
+            )
         )
     if length is not None and len(body) < length:
         return result.Err(
             dispatch.malformed_response(
-                f"response truncated: got {len(body)} of {length} bytes"
+                f"answer has {len(body)} of {length} bytes"
             )
         )
     return result.Ok(body)
--- a/irisshelf/transport/server.py
+++ b/irisshelf/transport/server.py
@@ -286,16 +286,12 @@
             if isinstance(event, h11.ConnectionClosed):
                 return None
             if event is not h11.NEED_DATA:
-                raise _BadRequestError(
-                    400, f"unexpected {event!r} before a request"
-                )
+                raise _BadRequestError(400, f"{event!r} before a request")
             data = self._receive(deadline_s)
             if data is None and self.idle:
                 return None
             if data is None:
-                raise _BadRequestError(
-                    408, f"no complete request head within {limits.head_s} s"
-                )
+                raise _BadRequestError(408, f"no head in {limits.head_s} s")
             if self.idle and data:
                 self._phase = _Phase.READING
                 deadline_s = boottime.now() + limits.head_s
@@ -320,9 +316,7 @@
             elif event is h11.NEED_DATA:
                 data = self._receive(deadline_s)
                 if data is None:
-                    raise _BadRequestError(
-                        408, "timed out while reading the request body"
-                    )
+                    raise _BadRequestError(408, "the body stopped coming in")
                 self._feed(data)
             else:
                 raise errors.CallerDisconnectedError
@@ -411,7 +405,7 @@
     lengths = [v for n, v in headers if n.lower() == b"content-length"]
     if chunked and lengths:
         raise _BadRequestError(
-            400, "both Content-Length and Transfer-Encoding given, allowed: one"
+            400, "both Content-Length and Transfer-Encoding, allowed: one"
         )
     if names.count(b"host") > 1:
         raise _BadRequestError(400, "more than one Host header")
