--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -1,4 +1,4 @@
-"""Client of model engines: streams, resume, cancel, load, orders, cache."""
+"""Client for model engines: streams, load, commands and the KV cache."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dispatch.start.register
 def _start_engine_call(
-    call: messages.EngineCall, *, clients: pool.Pool
+    call: messages.EngineCall, *, clients: pool.ClientPool
 ) -> result.Result[engine_stream.EngineStream, errors.CallError]:
     headers = {
         messages.Header.ATTEMPT_ID.value: call.attempt_id,
@@ -46,7 +46,7 @@
 
 @dispatch.start.register
 def _start_resume(
-    call: messages.ResumeCall, *, clients: pool.Pool
+    call: messages.ResumeCall, *, clients: pool.ClientPool
 ) -> result.Result[engine_stream.EngineStream, errors.CallError]:
     headers = {
         messages.Header.ATTEMPT_ID.value: call.attempt_id,
@@ -77,7 +77,7 @@
 
 
 def _open(
-    clients: pool.Pool,
+    clients: pool.ClientPool,
     address: str,
     limits: messages.Limits,
     send: Any,
@@ -86,82 +86,82 @@
     client = clients.client(
         address, connect_s=limits.connect_s, idle_s=limits.idle_s
     )
-    sent = send(client)
-    if isinstance(sent, result.Err):
-        return sent
-    response = sent.ok_value
+    received = send(client)
+    if isinstance(received, result.Err):
+        return received
+    response = received.ok_value
     if response.status_code != _OK:
-        return result.Err(dispatch.refusal(response))
+        return result.Err(dispatch.error_from_response(response))
     return result.Ok(
         engine_stream.EngineStream(
             response=response,
             checker=checker,
             generation=response.get(messages.Header.GENERATION.value) or "",
-            head=engine_stream.head_of(response),
+            head=engine_stream.parse_head(response),
         )
     )
 
 
 def cancel(
-    clients: pool.Pool, call: messages.CancelCall
+    clients: pool.ClientPool, call: messages.CancelCall
 ) -> result.Result[None, errors.CallError]:
-    """Tells an engine that nobody waits for an attempt any more."""
+    """Cancels an attempt whose result is no longer needed."""
     client = clients.client(
         call.address, connect_s=_CANCEL_CONNECT_S, idle_s=_CANCEL_IDLE_S
     )
-    sent = dispatch.request("DELETE", _stream_path(call), client)
-    if isinstance(sent, result.Err):
-        return sent
-    return dispatch.read_all(sent.ok_value).map(lambda _: None)
+    received = dispatch.request("DELETE", _stream_path(call), client)
+    if isinstance(received, result.Err):
+        return received
+    return dispatch.read_all(received.ok_value).map(lambda _: None)
 
 
-def report(
-    clients: pool.Pool,
+def fetch_load_report(
+    clients: pool.ClientPool,
     address: str,
     *,
     timeout_s: float,
     count: traffic.Count,
-) -> result.Result[messages.ServerReport, errors.CallError]:
-    """Asks a backend server for its engines' load.
+) -> result.Result[messages.ServerLoadReport, errors.CallError]:
+    """Fetches the load of all engines of a backend server.
 
     Args:
-        clients: Pooled connections.
+        clients: Pooled HTTP clients.
         address: The server's address.
-        timeout_s: Limit on connecting and on each wait for bytes.
-        count: Told of the bytes that this took.
+        timeout_s: Time limit for the connect and for each read.
+        count: Called with the kind and size in bytes of the exchange.
 
     Returns:
-        The report, or what went wrong.
+        The report, or the error.
     """
-    answer = _get_json(
+    document = _get_json(
         clients, address, "/load", timeout_s=timeout_s, count=count
     )
-    return answer.and_then(_decode_report)
+    return document.and_then(_decode_report)
 
 
-def cache_events(
-    clients: pool.Pool,
+def fetch_cache_events(
+    clients: pool.ClientPool,
     address: str,
     *,
     engine: str,
     since: int,
     timeout_s: float,
 ) -> result.Result[messages.CacheEvents, errors.CallError]:
-    """Fetches an engine's cache events from a sequence number on."""
+    """Fetches an engine's cache events, from sequence number ``since``."""
     path = f"/engines/{urllib.parse.quote(engine)}/cache_events?since={since}"
-    answer = _get_json(clients, address, path, timeout_s=timeout_s)
-    return answer.and_then(_decode_events)
+    document = _get_json(clients, address, path, timeout_s=timeout_s)
+    return document.and_then(_decode_events)
 
 
-def order(
-    clients: pool.Pool,
+def send_order(
+    clients: pool.ClientPool,
     address: str,
     *,
     engine: str,
     order: messages.Order,
     timeout_s: float,
 ) -> result.Result[None, errors.CallError]:
-    """Gives an engine an order under a fencing number."""
+    """Sends an engine an order that carries a fencing number."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
     body = json.dumps(
         {
@@ -172,29 +172,34 @@
         }
     ).encode()
     path = f"/engines/{urllib.parse.quote(engine)}/orders"
-    sent = dispatch.request("POST", path, client, body=body)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
-    return dispatch.read_all(sent.ok_value).map(lambda _: None)
+    received = dispatch.request("POST", path, client, body=body)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    return dispatch.read_all(received.ok_value).map(lambda _: None)
 
 
 def export_kv(
-    clients: pool.Pool, address: str, *, engine: str, key: str, timeout_s: float
+    clients: pool.ClientPool,
+    address: str,
+    *,
+    engine: str,
+    key: str,
+    timeout_s: float,
 ) -> result.Result[bytes, errors.CallError]:
-    """Fetches a cached prefix from an engine."""
+    """Fetches the KV cache of a prompt prefix from an engine."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
-    sent = dispatch.request("GET", _kv_path(engine, key), client)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
-    return dispatch.read_all(sent.ok_value)
+    received = dispatch.request("GET", _kv_path(engine, key), client)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    return dispatch.read_all(received.ok_value)
 
 
 def import_kv(
-    clients: pool.Pool,
+    clients: pool.ClientPool,
     address: str,
     *,
     engine: str,
@@ -202,14 +207,14 @@
     data: bytes,
     timeout_s: float,
 ) -> result.Result[None, errors.CallError]:
-    """Puts a prefix, exported elsewhere, into an engine's cache."""
+    """Stores the KV cache of a prompt prefix, exported by another engine."""
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
-    sent = dispatch.request("PUT", _kv_path(engine, key), client, body=data)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
-    return dispatch.read_all(sent.ok_value).map(lambda _: None)
+    received = dispatch.request("PUT", _kv_path(engine, key), client, body=data)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    return dispatch.read_all(received.ok_value).map(lambda _: None)
 
 
 def _stream_path(call: messages.CancelCall | messages.ResumeCall) -> str:
@@ -225,7 +230,7 @@
 
 
 def _get_json(
-    clients: pool.Pool,
+    clients: pool.ClientPool,
     address: str,
     path: str,
     *,
@@ -233,15 +238,15 @@
     count: traffic.Count | None = None,
 ) -> result.Result[Any, errors.CallError]:
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
-    sent = dispatch.request("GET", path, client)
-    if isinstance(sent, result.Err):
-        return sent
-    if sent.ok_value.status_code != _OK:
-        return result.Err(dispatch.refusal(sent.ok_value))
-    content = dispatch.read_all(sent.ok_value)
+    received = dispatch.request("GET", path, client)
+    if isinstance(received, result.Err):
+        return received
+    if received.ok_value.status_code != _OK:
+        return result.Err(dispatch.error_from_response(received.ok_value))
+    content = dispatch.read_all(received.ok_value)
     if count is not None:
         size = traffic.of_exchange(
-            path, b"", sent.ok_value, content.unwrap_or(b"")
+            path, b"", received.ok_value, content.unwrap_or(b"")
         )
         count("probe", size)
     return content.and_then(dispatch.decode_json)
@@ -249,7 +254,7 @@
 
 def _decode_report(
     document: Any,
-) -> result.Result[messages.ServerReport, errors.CallError]:
+) -> result.Result[messages.ServerLoadReport, errors.CallError]:
     try:
         engines = {
             str(name): messages.EngineLoad(
@@ -259,10 +264,14 @@
             )
             for name, load in document["engines"].items()
         }
-        leaving = bool(document["draining"])
+        draining = bool(document["draining"])
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        return result.Err(dispatch.garbled(f"load report: {exc!r}"))
-    return result.Ok(messages.ServerReport(leaving=leaving, engines=engines))
+        return result.Err(
+            dispatch.malformed_response(f"load report is malformed: {exc!r}")
+        )
+    return result.Ok(
+        messages.ServerLoadReport(draining=draining, engines=engines)
+    )
 
 
 def _decode_events(
@@ -276,5 +285,7 @@
             evicted=tuple(map(str, document["evicted"])),
         )
     except (KeyError, TypeError, ValueError) as exc:
-        return result.Err(dispatch.garbled(f"cache events: {exc!r}"))
+        return result.Err(
+            dispatch.malformed_response(f"cache events are malformed: {exc!r}")
+        )
     return result.Ok(events)
