--- a/bench/chart.py
+++ b/bench/chart.py
@@ -15,7 +15,7 @@
 def measure() -> dict[str, float]:
     """Returns microseconds a step of the attempt's chart, both ways."""
     folder = pathlib.Path(irisshelf.charts.__file__).parent
-    machine = chart.machine_of(
+    machine = chart.build_machine(
         json.loads((folder / "attempt.json").read_text())
     )
     model = _Model()
--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -120,7 +120,7 @@
     address: str,
     *,
     timeout_s: float,
-    count: traffic.Count,
+    count: traffic.ByteCounter,
 ) -> result.Result[messages.ServerReport, errors.CallError]:
     """Asks a backend server for its engines' load.
 
@@ -230,7 +230,7 @@
     path: str,
     *,
     timeout_s: float,
-    count: traffic.Count | None = None,
+    count: traffic.ByteCounter | None = None,
 ) -> result.Result[Any, errors.CallError]:
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
     sent = dispatch.request("GET", path, client)
@@ -240,7 +240,7 @@
         return result.Err(dispatch.refusal(sent.ok_value))
     content = dispatch.read_all(sent.ok_value)
     if count is not None:
-        size = traffic.of_exchange(
+        size = traffic.exchange_bytes(
             path, b"", sent.ok_value, content.unwrap_or(b"")
         )
         count("probe", size)
--- a/irisshelf/boottime.py
+++ b/irisshelf/boottime.py
@@ -32,13 +32,13 @@
     return time.clock_gettime(_WHICH)
 
 
-class SleepMeter:
+class SuspendMeter:
     """Tells how long the machine slept since it was last asked."""
 
     def __init__(self):
         self._apart_s = _apart_s()
 
-    def slept_s(self) -> float:
+    def take_suspended_s(self) -> float:
         """Returns the seconds slept since the last call; 0 if it did not."""
         apart_s = _apart_s()
         slept_s = apart_s - self._apart_s
--- a/irisshelf/charts/chart.py
+++ b/irisshelf/charts/chart.py
@@ -79,7 +79,7 @@
             )
         )
 
-    def move(self, state: str, event: str) -> str:
+    def step_or_stay(self, state: str, event: str) -> str:
         """Returns the state after an event; the same if it is not taken."""
         return self._table.get((state, event), state)
 
@@ -100,7 +100,7 @@
         ValueError: The chart is not sound.
     """
     document = json.loads((_FOLDER / f"{name}.json").read_text())
-    machine = machine_of(document)
+    machine = build_machine(document)
     edges = tuple(
         Edge(source=source, event=event.name, dest=edge.dest)
         for event in machine.events.values()
@@ -115,7 +115,7 @@
     return Chart(name=name, initial=document["initial"], edges=edges, tags=tags)
 
 
-def machine_of(document: dict) -> transitions.Machine:
+def build_machine(document: dict) -> transitions.Machine:
     """Builds the library's machine from a chart's document.
 
     Raises:
--- a/irisshelf/daemon/node.py
+++ b/irisshelf/daemon/node.py
@@ -130,7 +130,7 @@
     def move(self, event: str) -> None:
         """Takes an event of the instance's life."""
         before = self._state
-        self._state = self._chart.move(before, event)
+        self._state = self._chart.step_or_stay(before, event)
         if self._state != before:
             self.timeline.add(timeline.Kind.INSTANCE, detail=self._state)
             self._log.info("instance is %s", self._state)
--- a/irisshelf/daemon/relay.py
+++ b/irisshelf/daemon/relay.py
@@ -48,7 +48,7 @@
                 status=401, message="unknown peer", code="unknown_peer"
             )
             return http.answer_problem(start_response, problem)
-        self._nd.timeline.receive(environ.get("HTTP_X_STAMP", ""))
+        self._nd.timeline.receive_stamp(environ.get("HTTP_X_STAMP", ""))
         path = environ["PATH_INFO"]
         if path == relay_client.PATH:
             return self._take(environ, start_response)
--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -245,7 +245,7 @@
         self._data = _read_file(self._path)
         loaded = settings.decode(self._data)
         if isinstance(loaded, result.Err):
-            self._log.problem("reload_refused", why=why, detail=loaded.err())
+            self._log.warning("reload_refused", why=why, detail=loaded.err())
             return
         cfg = loaded.ok_value
         fixed = ("instance", "data_centre", "listen", "store", "seeds")
--- a/irisshelf/gateway/instance.py
+++ b/irisshelf/gateway/instance.py
@@ -87,7 +87,7 @@
         self._last_ready = False
         self.stopping_since_s: float | None = None
         self.in_flight = 0
-        self._suspend_meter = boottime.SleepMeter()
+        self._suspend_meter = boottime.SuspendMeter()
 
     def apply_settings(self, cfg: settings.Settings) -> None:
         """Applies reloaded settings."""
@@ -102,12 +102,12 @@
         the suspension have taken effect by then, since the clock includes
         suspended time; see ``boottime``.
         """
-        slept_s = self._suspend_meter.slept_s()
+        slept_s = self._suspend_meter.take_suspended_s()
         if not slept_s:
             return
         self.metrics.slept.inc(slept_s)
         age_s = self.freshness.age_s(self.now())
-        self.log.problem(
+        self.log.warning(
             "slept",
             for_s=round(slept_s, 3),
             in_flight=self.in_flight,
--- a/irisshelf/gateway/knowledge/crash_gossip.py
+++ b/irisshelf/gateway/knowledge/crash_gossip.py
@@ -133,7 +133,7 @@
                 cbor2.loads(data), list[tuple[_Fingerprint, _ServerKey, _AgeMs]]
             )
         except (ValueError, TypeError, cbor2.CBORDecodeError) as exc:
-            self._log.problem("crashes_unreadable", detail=str(exc))
+            self._log.warning("crashes_unreadable", detail=str(exc))
             return
         for fingerprint, server_key, age_ms in rows:
             crash = crash_suspects.ServerCrash(
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -145,7 +145,7 @@
             self._handle_response(table, response.ok_value, sent_s)
             return True
         if isinstance(response.err_value, feed.HistoryLost):
-            self._inst.log.problem(
+            self._inst.log.warning(
                 "store_history_lost", table=table.value, after=str(after)
             )
             watch.record_history_lost()
@@ -319,7 +319,7 @@
             self._lost_s = boottime.now()
             self.tables.servers.on_store_lost()
             self._inst.metrics.store_up.set(0)
-            self._inst.log.problem(
+            self._inst.log.warning(
                 "store_lost", table=table.value, detail=failure.detail
             )
         if table is not feed.Table.CATALOG:
--- a/irisshelf/gateway/knowledge/operator_state.py
+++ b/irisshelf/gateway/knowledge/operator_state.py
@@ -150,7 +150,7 @@
         data_centres = self._inst.cfg.data_centres
         if not data_centres or row.data_centre in data_centres:
             return True
-        self._inst.log.problem(
+        self._inst.log.warning(
             "evacuation_of_unknown_data_centre",
             data_centre=row.data_centre,
             allowed=sorted(data_centres),
@@ -159,7 +159,7 @@
 
     def _log_unreadable(self, item: feed.Item) -> None:
         catalog = self._inst.catalog
-        self._inst.log.problem(
+        self._inst.log.warning(
             "catalog_unreadable",
             key=item.key,
             problem=item.problem,
--- a/irisshelf/gateway/knowledge/peer_discovery.py
+++ b/irisshelf/gateway/knowledge/peer_discovery.py
@@ -208,7 +208,7 @@
                 list[tuple[str, str, str, _LinkMbps, float]],
             )
         except (ValueError, TypeError, cbor2.CBORDecodeError) as exc:
-            self._log.problem(
+            self._log.warning(
                 "members_unreadable", address=address, detail=str(exc)
             )
             return
--- a/irisshelf/gateway/knowledge/server_list.py
+++ b/irisshelf/gateway/knowledge/server_list.py
@@ -143,7 +143,7 @@
 
     def _log_unreadable(self, items: list[feed.Item]) -> None:
         logged = items[:_MAX_LOGGED_PROBLEMS]
-        self._inst.log.problem(
+        self._inst.log.warning(
             "server_entries_unreadable",
             count=len(items),
             first=[f"{item.key!r}: {item.problem}" for item in logged],
--- a/irisshelf/gateway/knowledge/table_relay.py
+++ b/irisshelf/gateway/knowledge/table_relay.py
@@ -129,7 +129,7 @@
                     for name in ("era", "revision", "version", "hold_ms")
                 )
             except msgspec.ValidationError as exc:
-                self._inst.log.problem("question_unreadable", detail=str(exc))
+                self._inst.log.warning("question_unreadable", detail=str(exc))
                 return None
             minimum = table_snapshot.MinimumVersion(
                 position=position_module.Position(era=era, revision=revision),
@@ -223,7 +223,7 @@
             message = table_snapshot.decode(data)
             batch = self._batch(table, message, minimum)
         except ValueError as exc:
-            self._inst.log.problem(
+            self._inst.log.warning(
                 "relayed_table_unreadable", table=table.value, detail=str(exc)
             )
             return None
--- a/irisshelf/gateway/knowledge/tables.py
+++ b/irisshelf/gateway/knowledge/tables.py
@@ -198,7 +198,7 @@
         """Records when the configuration in force was the latest."""
         era = batch.position.era
         if self.operators.store_is_behind:
-            self._inst.log.problem(
+            self._inst.log.warning(
                 "store_behind",
                 stored=self.operators.stored_version,
                 in_force=self._inst.catalog.version,
--- a/irisshelf/gateway/listener.py
+++ b/irisshelf/gateway/listener.py
@@ -104,7 +104,7 @@
         except Exception as exc:
             # An internal error must not stop the instance. Its location is
             # logged.
-            self._log.problem(
+            self._log.warning(
                 "connection_failed",
                 peer=f"{peer[0]}:{peer[1]}",
                 error=repr(exc),
--- a/irisshelf/gateway/servers/crash_tracker.py
+++ b/irisshelf/gateway/servers/crash_tracker.py
@@ -292,7 +292,7 @@
             return False
         verdict = self.suspects.judge(fingerprint, self._now())
         self._metrics.crashes.labels(verdict.stage.value).inc()
-        self._log.problem(
+        self._log.warning(
             "server_ended_under_request",
             content=fingerprint.hex(),
             request=request,
--- a/irisshelf/gateway/servers/server_reports.py
+++ b/irisshelf/gateway/servers/server_reports.py
@@ -135,7 +135,7 @@
         rest_s: float = 0.0,
     ) -> None:
         self._metrics.reports.labels(why).inc()
-        self._log.problem(
+        self._log.warning(
             "server_accepts_nothing",
             server=server.server_id,
             address=server.address,
--- a/irisshelf/gateway/servers/servers.py
+++ b/irisshelf/gateway/servers/servers.py
@@ -360,7 +360,7 @@
             self._metrics.failures.labels(outcome.value).inc()
         if why:
             self._metrics.rests.labels(server.service).inc()
-            self._log.problem(
+            self._log.warning(
                 "server_rests",
                 server=server.server_id,
                 address=server.address,
--- a/irisshelf/observe/decision_log.py
+++ b/irisshelf/observe/decision_log.py
@@ -88,7 +88,7 @@
         """Logs what the instance does or believes from now on."""
         self._put(name, fields, "INFO")
 
-    def problem(self, name: str, **fields: Any) -> None:
+    def warning(self, name: str, **fields: Any) -> None:
         """Logs what should not be, and what is done about it."""
         self._put(name, fields, "WARNING")
 
--- a/irisshelf/observe/metrics.py
+++ b/irisshelf/observe/metrics.py
@@ -33,7 +33,7 @@
         self.peer_refusals = self._counter(
             "peer_refusals", "Peers and messages refused.", "where"
         )
-        self.relay_seconds = prometheus_client.Histogram(
+        self.first_byte_seconds = prometheus_client.Histogram(
             "irisshelf_first_byte_seconds",
             "Time from a request to its answer's first byte.",
             ("service",),
--- a/irisshelf/observe/timeline.py
+++ b/irisshelf/observe/timeline.py
@@ -84,7 +84,7 @@
         stamp = self._clock.now()
         return f"{stamp.wall_s!r} {stamp.count} {stamp.process}"
 
-    def receive(self, stamp_text: str) -> None:
+    def receive_stamp(self, stamp_text: str) -> None:
         """Moves past the stamp of a message; one that is no stamp is left."""
         parts = stamp_text.split(" ")
         try:
--- a/irisshelf/routing/owned/health.py
+++ b/irisshelf/routing/owned/health.py
@@ -80,7 +80,7 @@
         before = self._get(name)
         if event is Event.PROBE_OK and self._is_held_down(before, now):
             return False
-        state = self._chart.move(before.state, event.value)
+        state = self._chart.step_or_stay(before.state, event.value)
         after = dataclasses.replace(before, state=state)
         if event in (Event.SUCCESS, Event.PROBE_OK):
             after = dataclasses.replace(after, last_success_s=now)
--- a/irisshelf/store/http_client.py
+++ b/irisshelf/store/http_client.py
@@ -42,7 +42,7 @@
         host: str,
         port: int,
         timeout_s: float = 2.0,
-        count: traffic.Count | None = None,
+        count: traffic.ByteCounter | None = None,
     ):
         self.count = count
         self._client = geventhttpclient.HTTPClient(
@@ -152,7 +152,7 @@
                 )
             )
         if self.count is not None:
-            size = traffic.of_exchange(path, data or b"", response, content)
+            size = traffic.exchange_bytes(path, data or b"", response, content)
             self.count(_kind(path, data or b""), size)
         return result.Ok((response.status_code, content))
 
--- a/irisshelf/tests/test_admission.py
+++ b/irisshelf/tests/test_admission.py
@@ -258,4 +258,4 @@
     step = {"trigger": "go", "source": "a", "dest": "a", unknown: "nowhere"}
     document = {"states": ["a"], "initial": "a", "transitions": [step]}
     with pytest.raises(ValueError, match="nowhere"):
-        chart.machine_of(document)
+        chart.build_machine(document)
--- a/irisshelf/tests/test_evacuation.py
+++ b/irisshelf/tests/test_evacuation.py
@@ -151,7 +151,7 @@
 def test_malformed_evacuation_row_is_ignored(make_world, key, value):
     world = make_world(places=("a", "b"), known_places=("a", "b"))
     problems = []
-    world.inst.log.problem = lambda name, **fields: problems.append(name)
+    world.inst.log.warning = lambda name, **fields: problems.append(name)
     world.store.put_raw("op", key, value)
     world.store.put("op", "config", world_module.config(2))
     world.wait(lambda: world.inst.catalog.version == 2)
--- a/irisshelf/tests/test_fact_gossip.py
+++ b/irisshelf/tests/test_fact_gossip.py
@@ -27,7 +27,7 @@
         self._fd = os.open(os.devnull, os.O_WRONLY)
         self.log = decision_log.DecisionLog(instance=name, fd=self._fd)
         self.problems = []
-        self.log.problem = lambda name, **fields: self.problems.append(name)
+        self.log.warning = lambda name, **fields: self.problems.append(name)
         own = membership_module.Member(
             name=name, address="", data_centre=data_centre
         )
--- a/irisshelf/tests/test_gateway_faults.py
+++ b/irisshelf/tests/test_gateway_faults.py
@@ -284,7 +284,7 @@
     tried = []
     monkeypatch.setattr(
         world.inst.log,
-        "problem",
+        "warning",
         lambda name, **fields: tried.append(name),
     )
     monkeypatch.setattr(
--- a/irisshelf/tests/test_store_updates.py
+++ b/irisshelf/tests/test_store_updates.py
@@ -36,7 +36,7 @@
         self._fd = os.open(os.devnull, os.O_WRONLY)
         self.problems = []
         log = decision_log.DecisionLog(instance=name, fd=self._fd)
-        log.problem = lambda name, **fields: self.problems.append(name)
+        log.warning = lambda name, **fields: self.problems.append(name)
         self.datagrams = datagrams_module.Datagrams(address=_ANY, log=log)
         self.member = membership_module.Member(
             name=name, address=self.datagrams.address, data_centre="a"
--- a/irisshelf/tests/test_system_suspend.py
+++ b/irisshelf/tests/test_system_suspend.py
@@ -123,7 +123,7 @@
 ):
     world = make_world(bounds=_LENIENT)
     lines = []
-    world.inst.log.problem = lambda name, **fields: lines.append((name, fields))
+    world.inst.log.warning = lambda name, **fields: lines.append((name, fields))
     suspend(suspended_s)
     for _ in range(3):
         world.ask("/alarm/1")
--- a/irisshelf/tests/test_table_relay.py
+++ b/irisshelf/tests/test_table_relay.py
@@ -52,7 +52,7 @@
         self._fd = os.open(os.devnull, os.O_WRONLY)
         self.lines = []
         self.log = decision_log.DecisionLog(instance=name, fd=self._fd)
-        self.log.problem = self._record_line
+        self.log.warning = self._record_line
         self.log.instance = self._record_line
         self.datagrams = datagrams_module.Datagrams(
             address="127.0.0.1:0", log=self.log
--- a/irisshelf/tests/test_untrusted_input.py
+++ b/irisshelf/tests/test_untrusted_input.py
@@ -199,7 +199,7 @@
     lines = []
     monkeypatch.setattr(
         world.inst.log,
-        "problem",
+        "warning",
         lambda name, **fields: lines.append((name, fields)),
     )
     world.store.mode = store_module.Mode.BUSY
@@ -351,7 +351,7 @@
 def test_a_deeply_nested_datagram_is_dropped(world):
     lines = []
     log = world.inst.log
-    log.problem = lambda name, **fields: lines.append(name)
+    log.warning = lambda name, **fields: lines.append(name)
     datagrams = datagrams_module.Datagrams(address="127.0.0.1:0", log=log)
     nested = bytes([0x81]) * 1300 + b"\x00"
     for kind in datagrams_module.Kind:
--- a/specs/fuzz.py
+++ b/specs/fuzz.py
@@ -228,7 +228,7 @@
     def _stamps(self) -> None:
         text = mutate_bytes(b"12.5 3 espoo-a-1", self._rng).decode("latin-1")
         self._data = text
-        self._instance.node.timeline.receive(text)
+        self._instance.node.timeline.receive_stamp(text)
         event = timeline.encode(
             self._instance.node.timeline.add(timeline.Kind.REQUEST)
         )
