--- a/irisshelf/cli/bundle.py
+++ b/irisshelf/cli/bundle.py
@@ -142,8 +142,8 @@
     _, current = remote.read_head(client)
     number = current.number if current else 0
     in_force = {}
-    for node in remote.nodes(client):
-        status = remote.ask(node, "/status")
+    for node in remote.list_instances(client):
+        status = remote.fetch_json(node, "/status")
         in_force[node.name] = status["bundle"] if status else None
     lines = [f"head: {number}"]
     for name, found in sorted(in_force.items()):
--- a/irisshelf/cli/instances.py
+++ b/irisshelf/cli/instances.py
@@ -12,8 +12,8 @@
     """Shows each instance: state, bundle, open requests, what it sees."""
     client = remote.connect(platform)
     found = []
-    for node in remote.nodes(client):
-        status = remote.ask(node, "/status") or {"state": "no answer"}
+    for node in remote.list_instances(client):
+        status = remote.fetch_json(node, "/status") or {"state": "no answer"}
         found.append({"name": node.name, "listed": node.state.value, **status})
     lines = [_line(item) for item in found]
     document = {"instances": found}
--- a/irisshelf/cli/logs.py
+++ b/irisshelf/cli/logs.py
@@ -9,7 +9,7 @@
 
 from irisshelf.cli import output
 from irisshelf.cli import remote
-from irisshelf.observe import log_story
+from irisshelf.observe import request_trace
 
 
 def logs_command(
@@ -25,12 +25,12 @@
     for file in files:
         try:
             with file.open(encoding="utf-8", errors="replace") as opened:
-                lines += log_story.parse(opened)
+                lines += request_trace.parse(opened)
         except OSError as exc:
             output.fail(
                 f"cannot read {file}: {exc}", code=output.EXIT_BAD_INPUT
             )
-    found = log_story.story(lines, request)
+    found = request_trace.trace(lines, request)
     if not found:
         output.fail(
             f"request is {request!r}: none of {len(lines)} lines is about it",
@@ -46,5 +46,5 @@
         }
         for line in found
     ]
-    text = "\n".join(log_story.render(line) for line in found)
+    text = "\n".join(request_trace.render(line) for line in found)
     output.show(text, document, as_json=as_json)
--- a/irisshelf/cli/remote.py
+++ b/irisshelf/cli/remote.py
@@ -67,7 +67,7 @@
     return row, head.decode(row.value) if row else None
 
 
-def nodes(platform: interface.Platform) -> tuple[messages.Node, ...]:
+def list_instances(platform: interface.Platform) -> tuple[messages.Node, ...]:
     """Lists instances of irisshelf, or ends the command."""
     listed = platform.nodes(since=0)
     if isinstance(listed, result.Err):
@@ -82,7 +82,7 @@
     )
 
 
-def ask(node: messages.Node, path: str) -> Any | None:
+def fetch_json(node: messages.Node, path: str) -> Any | None:
     """Asks an instance's admin port; None if it does not answer."""
     try:
         client = pool.new_client(
--- a/irisshelf/cli/timeline.py
+++ b/irisshelf/cli/timeline.py
@@ -31,8 +31,8 @@
     client = remote.connect(platform)
     events = []
     missing = []
-    for node in remote.nodes(client):
-        answer = remote.ask(node, "/timeline")
+    for node in remote.list_instances(client):
+        answer = remote.fetch_json(node, "/timeline")
         if answer is None:
             missing.append(node.name)
             continue
--- a/irisshelf/observe/log_story.py
+++ b/irisshelf/observe/request_trace.py
@@ -14,7 +14,7 @@
 
 # What an instance went through so long before a request's first line may be
 # its cause.
-BEFORE_S = 10.0
+LOOKBACK_S = 10.0
 _INSTANCE_LINES = frozenset(
     {
         "start",
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Line:
+class LogLine:
     """One log line.
 
     Attributes:
@@ -54,7 +54,7 @@
     fields: dict[str, Any]
 
 
-def parse(texts: Iterable[str]) -> list[Line]:
+def parse(texts: Iterable[str]) -> list[LogLine]:
     """Reads log lines; text before a line's first brace is skipped.
 
     Lines that are no decisions are left out, since other programs may write
@@ -67,7 +67,7 @@
             continue
         try:
             fields = json.loads(text[start:])
-            line = Line(
+            line = LogLine(
                 time_s=float(fields.pop("time")),
                 instance=str(fields.pop("instance")),
                 name=str(fields.pop("message")),
@@ -80,14 +80,14 @@
     return lines
 
 
-def story(lines: Iterable[Line], request: str) -> list[Line]:
+def trace(lines: Iterable[LogLine], request: str) -> list[LogLine]:
     """Returns a request's lines and what may explain them, in time order."""
     every = sorted(lines, key=lambda line: line.time_s)
     own = [line for line in every if line.request == request]
     if not own:
         return []
     instances = {line.instance for line in own}
-    begin_s = own[0].time_s - BEFORE_S
+    begin_s = own[0].time_s - LOOKBACK_S
     end_s = own[-1].time_s
     servers = _servers(own)
     return [
@@ -103,7 +103,7 @@
     ]
 
 
-def render(line: Line) -> str:
+def render(line: LogLine) -> str:
     """Returns a line for people."""
     fields = " ".join(
         f"{name}={value!r}"
@@ -113,13 +113,13 @@
     return f"{line.time_s:.4f} {line.instance} {line.name} {fields}"
 
 
-def _servers(own: Iterable[Line]) -> set[str]:
+def _servers(own: Iterable[LogLine]) -> set[str]:
     return {
         str(line.fields["server"]) for line in own if line.fields.get("server")
     }
 
 
-def _concerns(line: Line, servers: set[str]) -> bool:
+def _concerns(line: LogLine, servers: set[str]) -> bool:
     """Leaves out what happened to servers that the request never met."""
     if line.name == "server_rests":
         return line.fields.get("server") in servers
