--- a/irisshelf/charts/__init__.py
+++ b/irisshelf/charts/__init__.py
@@ -1,1 +1,1 @@
-"""State charts as JSON files and their interpreter."""
+"""State charts, stored as JSON files, and their interpreter."""
--- a/irisshelf/charts/chart.py
+++ b/irisshelf/charts/chart.py
@@ -1,8 +1,9 @@
-"""Interpreter of state charts kept as JSON files.
+"""Interpreter of state charts that are stored as JSON files.
 
-A chart's file is read once by the ``transitions`` library. From its reading a
-plain table is built, since charts are on a request's path and a step by the
-library costs far more than one by the table (``bench/chart.py`` measures both).
+A chart's file is parsed once with the ``transitions`` library and converted to
+a transition table, because charts are evaluated on the request path and a
+transition by the library is far slower than a table look-up (``bench/chart.py``
+measures both).
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 import result
 import transitions
 
-_FOLDER = pathlib.Path(__file__).parent
+_DIRECTORY = pathlib.Path(__file__).parent
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoTransition:
-    """An event that a state does not take."""
+    """An event for which a state has no transition."""
 
     chart: str
     state: str
@@ -29,14 +30,15 @@
 
     def __str__(self) -> str:
         return (
-            f"{self.chart}: state {self.state!r} takes no {self.event!r},"
+            f"{self.chart}: state {self.state!r} has no transition for"
+            f" {self.event!r},"
             f" allowed: {list(self.allowed)}"
         )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Edge:
-    """One transition of a chart."""
+    """Transition of a chart."""
 
     source: str
     event: str
@@ -44,13 +46,13 @@
 
 
 class Chart:
-    """A chart: its states and where each event leads.
+    """State chart: its states and transitions.
 
     Args:
         name: The chart's name.
-        initial: The state to start in.
-        edges: All transitions.
-        tags: Sets of states by tag, such as those that take new work.
+        initial: The initial state.
+        edges: The transitions.
+        tags: Sets of states by tag, such as the states that accept new work.
     """
 
     def __init__(
@@ -68,7 +70,7 @@
         self._table = {(edge.source, edge.event): edge.dest for edge in edges}
 
     def step(self, state: str, event: str) -> result.Result[str, NoTransition]:
-        """Returns the state that an event leads to."""
+        """Returns the state after an event, or an error if there is none."""
         dest = self._table.get((state, event))
         if dest is not None:
             return result.Ok(dest)
@@ -80,11 +82,11 @@
         )
 
     def step_or_stay(self, state: str, event: str) -> str:
-        """Returns the state after an event; the same if it is not taken."""
+        """Returns the state after an event; without a transition, the same."""
         return self._table.get((state, event), state)
 
     def has_tag(self, state: str, tag: str) -> bool:
-        """Tells whether a state carries a tag."""
+        """Returns whether a state has a tag."""
         return state in self._tags[tag]
 
 
@@ -93,20 +95,20 @@
     """Reads a chart from its JSON file.
 
     Args:
-        name: The file's name without its ending.
+        name: File name without extension.
 
     Raises:
-        FileNotFoundError: There is no such chart.
-        ValueError: The chart is not sound.
+        FileNotFoundError: The chart does not exist.
+        ValueError: The chart refers to an unknown state.
     """
-    document = json.loads((_FOLDER / f"{name}.json").read_text())
+    document = json.loads((_DIRECTORY / f"{name}.json").read_text())
     machine = build_machine(document)
     edges = tuple(
         Edge(source=source, event=event.name, dest=edge.dest)
         for event in machine.events.values()
         if not event.name.startswith("to_")
-        for source, found in event.transitions.items()
-        for edge in found
+        for source, outgoing in event.transitions.items()
+        for edge in outgoing
     )
     tags = {tag: frozenset(s) for tag, s in document["tags"].items()}
     unknown = set().union(*tags.values()) - set(machine.states)
@@ -116,17 +118,17 @@
 
 
 def build_machine(document: dict) -> transitions.Machine:
-    """Builds the library's machine from a chart's document.
+    """Builds a machine of the ``transitions`` library from a chart document.
 
     Raises:
-        ValueError: A transition names a state that is not listed.
+        ValueError: A transition refers to an unknown state.
     """
     states = document["states"]
-    for step in document["transitions"]:
-        sources = step["source"]
-        named = [step["dest"]]
-        named += [sources] if isinstance(sources, str) else sources
-        unknown = set(named) - set(states)
+    for transition in document["transitions"]:
+        sources = transition["source"]
+        states_used = [transition["dest"]]
+        states_used += [sources] if isinstance(sources, str) else sources
+        unknown = set(states_used) - set(states)
         if unknown:
             raise ValueError(
                 f"transition names {sorted(unknown)}, allowed: {states}"
--- a/irisshelf/cli/timeline.py
+++ b/irisshelf/cli/timeline.py
@@ -1,4 +1,4 @@
-"""Merges the time lines of all instances."""
+"""Command that merges the time lines of all instances."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
             missing.append(node.name)
             continue
         events += [timeline.decode(item) for item in answer["events"]]
-    wanted = timeline.Filter(
+    event_filter = timeline.Filter(
         request=request, chat=chat, engine=engine, bundle=bundle
     )
-    merged = timeline.merge(events, wanted=wanted)
+    merged = timeline.merge(events, event_filter=event_filter)
     if html is not None:
         files.write_text(html, timeline_page.render(merged))
         typer.echo(f"{html}: {len(merged)} events", err=as_json)
--- a/irisshelf/observe/__init__.py
+++ b/irisshelf/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics and the time line of events."""
+"""Logs, metrics and the event time line."""
--- a/irisshelf/observe/decision_log.py
+++ b/irisshelf/observe/decision_log.py
@@ -1,9 +1,10 @@
-"""One JSON line for each decision, on standard output, bounded.
+"""Bounded, non-blocking log of decisions: JSON lines on standard output.
 
-Writing never blocks: lines wait in a queue of ``MAX_QUEUED`` and are written
-by a greenlet as the reader takes them. Lines about requests are limited to
-``lines_per_s``; what does not fit is counted and told by a line of its own.
-Lines about the instance itself are never limited, only queued.
+Logging never blocks: lines are put into a queue of at most ``MAX_QUEUED`` and
+a greenlet writes them at the speed at which the reader consumes them. Lines
+about requests are limited to ``lines_per_s``. Dropped lines are counted, and
+the count is logged as ``lines_dropped``. Lines about the instance itself are
+exempt from the rate limit but not from the bound of the queue.
 """
 
 from __future__ import annotations
@@ -23,24 +24,24 @@
 
 MAX_QUEUED = 5000
 _STDOUT = 1
-_WRITE_BYTES = 65536
-_DROPPED_EVERY_S = 1.0
+_WRITE_BATCH_BYTES = 65536
+_DROPPED_REPORT_INTERVAL_S = 1.0
 
 
 class _Bucket:
-    """Token bucket for lines."""
+    """Token bucket that limits the rate of log lines."""
 
     def __init__(self, *, per_s: float):
         self._per_s = per_s
         self._tokens = per_s
-        self._at_s = boottime.now()
+        self._refilled_s = boottime.now()
 
     def take(self, now: float) -> bool:
-        """Takes a token, if there is one."""
+        """Takes a token; returns whether one was available."""
         self._tokens = min(
-            self._per_s, self._tokens + (now - self._at_s) * self._per_s
+            self._per_s, self._tokens + (now - self._refilled_s) * self._per_s
         )
-        self._at_s = now
+        self._refilled_s = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -48,12 +49,12 @@
 
 
 class DecisionLog:
-    """Writes decisions; ``run`` is its greenlet.
+    """Queues log lines and writes them in a greenlet, which executes ``run``.
 
     Args:
-        instance: Named in every line.
-        lines_per_s: Most lines about requests in a second.
-        fd: Where lines go.
+        instance: Name of the instance, a field of every line.
+        lines_per_s: Rate limit of lines about requests.
+        fd: File descriptor to write to; it is made non-blocking.
     """
 
     def __init__(
@@ -63,18 +64,18 @@
         self._fd = fd
         self._bucket = _Bucket(per_s=lines_per_s)
         self._queue: collections.deque[bytes] = collections.deque()
-        self._wake = event.Event()
+        self._lines_queued = event.Event()
         self._formatter = json_logger.JsonFormatter("%(message)s")
-        self._told_s = boottime.now()
+        self._dropped_reported_s = boottime.now()
         self.dropped = 0
-        self._untold = 0
+        self._dropped_unreported = 0
         os.set_blocking(fd, False)
 
     def request(self, name: str, request: str, **fields: Any) -> None:
-        """Logs a decision that touches a request.
+        """Logs a decision about a request, subject to the rate limit.
 
         Args:
-            name: What was decided.
+            name: Name of the decision, the line's ``message``.
             request: The request's id.
             **fields: Inputs, their age or version, and the outcome.
         """
@@ -82,29 +83,34 @@
         if not self._bucket.take(now):
             self._drop()
             return
-        self._put(name, {"request": request, **fields}, "INFO")
+        self._log(name, {"request": request, **fields}, "INFO")
 
     def instance(self, name: str, **fields: Any) -> None:
-        """Logs what the instance does or believes from now on."""
-        self._put(name, fields, "INFO")
+        """Logs an action or a change of state of the instance."""
+        self._log(name, fields, "INFO")
 
     def warning(self, name: str, **fields: Any) -> None:
-        """Logs what should not be, and what is done about it."""
-        self._put(name, fields, "WARNING")
+        """Logs an abnormal condition and how it is handled."""
+        self._log(name, fields, "WARNING")
 
     def run(self) -> None:
-        """Writes lines as long as the process lives."""
+        """Writes queued lines until the process exits."""
         while True:
-            self._wake.wait()
-            self._wake.clear()
+            self._lines_queued.wait()
+            self._lines_queued.clear()
             self.flush(wait=True)
 
     def flush(self, *, wait: bool = False) -> None:
-        """Writes what is queued; without ``wait``, what can be now."""
+        """Writes the queued lines.
+
+        Args:
+            wait: Whether to wait while the descriptor is not writable; if not,
+                writing stops there.
+        """
         while self._queue:
             lines = []
             size = 0
-            while self._queue and size < _WRITE_BYTES:
+            while self._queue and size < _WRITE_BATCH_BYTES:
                 lines.append(self._queue.popleft())
                 size += len(lines[-1])
             if not self._write(b"".join(lines), wait):
@@ -119,23 +125,26 @@
                     return False
                 socket.wait_write(self._fd)
             except OSError:
-                # Nobody reads any more; there is nowhere to say so.
+                # The reader has closed its end; the error cannot be logged.
                 return False
         return True
 
     def _drop(self) -> None:
         self.dropped += 1
-        self._untold += 1
+        self._dropped_unreported += 1
 
-    def _put(self, name: str, fields: dict[str, Any], level: str) -> None:
+    def _log(self, name: str, fields: dict[str, Any], level: str) -> None:
         now = boottime.now()
-        if self._untold and now - self._told_s > _DROPPED_EVERY_S:
-            untold, self._untold = self._untold, 0
-            self._told_s = now
-            self._line("lines_dropped", {"count": untold}, "WARNING")
-        self._line(name, fields, level)
-
-    def _line(self, name: str, fields: dict[str, Any], level: str) -> None:
+        if (
+            self._dropped_unreported
+            and now - self._dropped_reported_s > _DROPPED_REPORT_INTERVAL_S
+        ):
+            unreported, self._dropped_unreported = self._dropped_unreported, 0
+            self._dropped_reported_s = now
+            self._enqueue("lines_dropped", {"count": unreported}, "WARNING")
+        self._enqueue(name, fields, level)
+
+    def _enqueue(self, name: str, fields: dict[str, Any], level: str) -> None:
         if len(self._queue) >= MAX_QUEUED:
             self._drop()
             return
@@ -149,9 +158,9 @@
             **fields,
         )
         self._queue.append(self._formatter.format(record).encode() + b"\n")
-        self._wake.set()
+        self._lines_queued.set()
 
 
 def start(log: DecisionLog) -> gevent.Greenlet:
-    """Starts a log's greenlet."""
+    """Starts the greenlet that writes a log's lines."""
     return gevent.spawn(log.run)
--- a/irisshelf/observe/log.py
+++ b/irisshelf/observe/log.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, by python-json-logger."""
+"""Set-up of standard logging with JSON output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def configure(*, level: str, instance: str) -> None:
-    """Sends all logs to standard error, one JSON object a line."""
+    """Sends all logs to standard error, one JSON object per line."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         json_logger.JsonFormatter(
@@ -23,10 +23,10 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    # The library tells of every connection; the peers layer does so itself.
+    # The library logs every connection, which the peers layer already does.
     logging.getLogger("websockets").setLevel(logging.WARNING)
 
 
 def get(name: str) -> logging.Logger:
-    """Returns the logger of a part of irisshelf."""
+    """Returns the logger of a component, below ``irisshelf``."""
     return logging.getLogger(f"irisshelf.{name}")
--- a/irisshelf/observe/metrics.py
+++ b/irisshelf/observe/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """All metrics, in a registry of their own."""
+    """Metrics of one daemon, in a separate registry."""
 
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
@@ -54,19 +54,22 @@
         )
 
     def expose(self) -> bytes:
-        """Returns all metrics in Prometheus' text format."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def _counter(
-        self, name: str, text: str, *labels: str
+        self, name: str, description: str, *labels: str
     ) -> prometheus_client.Counter:
         return prometheus_client.Counter(
-            f"irisshelf_{name}_total", text, labels, registry=self.registry
+            f"irisshelf_{name}_total",
+            description,
+            labels,
+            registry=self.registry,
         )
 
     def _gauge(
-        self, name: str, text: str, *labels: str
+        self, name: str, description: str, *labels: str
     ) -> prometheus_client.Gauge:
         return prometheus_client.Gauge(
-            f"irisshelf_{name}", text, labels, registry=self.registry
+            f"irisshelf_{name}", description, labels, registry=self.registry
         )
--- a/irisshelf/observe/request_trace.py
+++ b/irisshelf/observe/request_trace.py
@@ -1,8 +1,8 @@
-"""Tells the story of one request from the logs of all instances.
+"""Collects the log lines that explain one request, from all instances' logs.
 
-A request's own lines come first in time; between them stand what its
-instances and servers went through: what an instance believed (configuration,
-store, servers) and servers that were left alone.
+The result has the request's own lines, interleaved by time with lines about
+the instances that handled it (changes of configuration, store or server list)
+and about its servers that were ejected or in backoff.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from collections.abc import Iterable
 from typing import Any
 
-# What an instance went through so long before a request's first line may be
-# its cause.
+# Instance events up to this long before a request's first line are included,
+# since they may have caused what happened to it.
 LOOKBACK_S = 10.0
-_INSTANCE_LINES = frozenset(
+_INSTANCE_EVENTS = frozenset(
     {
         "start",
         "stopping",
@@ -40,11 +40,11 @@
     """One log line.
 
     Attributes:
-        time_s: Wall-clock seconds, by its instance's clock.
-        instance: Who wrote it.
-        name: What was decided or happened.
-        request: The request it is about; empty for none.
-        fields: All else.
+        time_s: Wall-clock time in seconds, by the instance's clock.
+        instance: Instance that wrote it.
+        name: Name of the decision or event, the line's ``message``.
+        request: Id of the request it is about; empty for none.
+        fields: All other fields.
     """
 
     time_s: float
@@ -55,10 +55,10 @@
 
 
 def parse(texts: Iterable[str]) -> list[LogLine]:
-    """Reads log lines; text before a line's first brace is skipped.
+    """Parses log lines, ignoring text before a line's first brace.
 
-    Lines that are no decisions are left out, since other programs may write
-    to the same place.
+    Lines that are not from the decision log are skipped, since other programs
+    may write to the same file.
     """
     lines = []
     for text in texts:
@@ -81,30 +81,30 @@
 
 
 def trace(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Returns a request's lines and what may explain them, in time order."""
-    every = sorted(lines, key=lambda line: line.time_s)
-    own = [line for line in every if line.request == request]
+    """Returns a request's lines and related instance events, in time order."""
+    ordered = sorted(lines, key=lambda line: line.time_s)
+    own = [line for line in ordered if line.request == request]
     if not own:
         return []
     instances = {line.instance for line in own}
     begin_s = own[0].time_s - LOOKBACK_S
     end_s = own[-1].time_s
-    servers = _servers(own)
+    servers = _servers_of(own)
     return [
         line
-        for line in every
+        for line in ordered
         if line in own
         or (
             line.instance in instances
-            and line.name in _INSTANCE_LINES
+            and line.name in _INSTANCE_EVENTS
             and begin_s <= line.time_s <= end_s
-            and _concerns(line, servers)
+            and _is_related(line, servers)
         )
     ]
 
 
 def render(line: LogLine) -> str:
-    """Returns a line for people."""
+    """Formats a line as text."""
     fields = " ".join(
         f"{name}={value!r}"
         for name, value in line.fields.items()
@@ -113,14 +113,14 @@
     return f"{line.time_s:.4f} {line.instance} {line.name} {fields}"
 
 
-def _servers(own: Iterable[LogLine]) -> set[str]:
+def _servers_of(own: Iterable[LogLine]) -> set[str]:
     return {
         str(line.fields["server"]) for line in own if line.fields.get("server")
     }
 
 
-def _concerns(line: LogLine, servers: set[str]) -> bool:
-    """Leaves out what happened to servers that the request never met."""
+def _is_related(line: LogLine, servers: set[str]) -> bool:
+    """Returns False for events of servers that the request was not sent to."""
     if line.name == "server_rests":
         return line.fields.get("server") in servers
     if line.name == "servers_changed":
--- a/irisshelf/observe/timeline.py
+++ b/irisshelf/observe/timeline.py
@@ -1,4 +1,4 @@
-"""The time line: a bounded ring of typed events in each process."""
+"""Event time line: a bounded ring buffer of typed events per process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What happened."""
+    """Type of an event."""
 
     REQUEST = "request"
     SEND = "send"
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Event:
-    """One thing that happened in one process."""
+    """Event in one process."""
 
     stamp: clock.Timestamp
     kind: Kind
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Filter:
-    """Which events to show; an empty field lets everything through."""
+    """Values that events must have; an empty field matches every event."""
 
     request: str = ""
     chat: str = ""
@@ -58,11 +58,11 @@
 
 
 class Timeline:
-    """A process's latest events.
+    """Most recent events of a process.
 
     Args:
-        clock: Stamps events.
-        max_events: Events kept; the oldest go first.
+        clock: Source of the events' timestamps.
+        max_events: Capacity; when it is reached, the oldest event is evicted.
     """
 
     def __init__(
@@ -74,18 +74,18 @@
         )
 
     def add(self, kind: Kind, **fields: Any) -> Event:
-        """Stamps an event and keeps it; ``fields`` are those of ``Event``."""
+        """Records an event at the current time; ``fields`` as in ``Event``."""
         event = Event(stamp=self._clock.now(), kind=kind, **fields)
         self._events.append(event)
         return event
 
     def stamp_text(self) -> str:
-        """Returns a stamp for a message to another process."""
+        """Returns a new encoded timestamp for a message to another process."""
         stamp = self._clock.now()
         return f"{stamp.wall_s!r} {stamp.count} {stamp.process}"
 
     def receive_stamp(self, stamp_text: str) -> None:
-        """Moves past the stamp of a message; one that is no stamp is left."""
+        """Advances the clock past a received timestamp, if it is valid."""
         parts = stamp_text.split(" ")
         try:
             stamp = clock.Timestamp(
@@ -97,20 +97,20 @@
             self._clock.receive(stamp)
 
     def events(self) -> tuple[Event, ...]:
-        """Returns the events kept, oldest first."""
+        """Returns the recorded events, oldest first."""
         return tuple(self._events)
 
 
 def encode(event: Event) -> dict[str, Any]:
-    """Turns an event into JSON's types."""
+    """Converts an event to JSON types."""
     return dataclasses.asdict(event)
 
 
 def decode(document: dict[str, Any]) -> Event:
-    """Turns JSON's types into an event.
+    """Converts JSON types to an event.
 
     Raises:
-        ValueError: The document is no event.
+        ValueError: The document is not an event.
     """
     try:
         fields = dict(document)
@@ -118,28 +118,32 @@
         fields["kind"] = Kind(fields["kind"])
         return Event(**fields)
     except (KeyError, TypeError) as exc:
-        raise ValueError(f"no event: {exc!r}") from exc
+        raise ValueError(f"invalid time line event: {exc!r}") from exc
 
 
 def merge(
-    events: Iterable[Event], *, wanted: Filter | None = None
+    events: Iterable[Event], *, event_filter: Filter | None = None
 ) -> list[Event]:
-    """Merges events of many processes in causal order.
+    """Merges events of several processes into causal order.
 
     Args:
         events: Events, in any order.
-        wanted: Which to keep; None for all.
+        event_filter: Selects events; None selects all.
 
     Returns:
-        Each event once, by stamp.
+        Each event once, ordered by timestamp.
     """
-    kept = {e.stamp: e for e in events if wanted is None or _fits(e, wanted)}
-    return [kept[stamp] for stamp in sorted(kept)]
+    selected = {
+        e.stamp: e
+        for e in events
+        if event_filter is None or _matches(e, event_filter)
+    }
+    return [selected[stamp] for stamp in sorted(selected)]
 
 
-def _fits(event: Event, wanted: Filter) -> bool:
+def _matches(event: Event, event_filter: Filter) -> bool:
     for field in dataclasses.fields(Filter):
-        value = getattr(wanted, field.name)
+        value = getattr(event_filter, field.name)
         if value and getattr(event, field.name) != value:
             return False
     return True
--- a/irisshelf/observe/timeline_page.py
+++ b/irisshelf/observe/timeline_page.py
@@ -1,7 +1,8 @@
-"""The time line as one self-contained page that a person can read.
+"""Renders the time line as one self-contained HTML page.
 
-Lanes by process, a text filter, and a click on an event to see only its
-request. The events are put into the page as JSON; nothing is fetched.
+The page has a column per process and a text filter; a click on an event
+restricts the view to its request. The events are embedded as JSON, so the page
+makes no requests.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from irisshelf.observe import timeline
 
-_DATA_MARK = "/*EVENTS*/[]"
+_DATA_PLACEHOLDER = "/*EVENTS*/[]"
 _PAGE = """<!doctype html>
 <html lang="en">
 <head>
@@ -116,14 +117,14 @@
 
 
 def render(events: Sequence[timeline.Event]) -> str:
-    """Returns the page for some events, in the order given.
+    """Returns the HTML page that shows events in the given order.
 
     Args:
-        events: Events as ``timeline.merge`` returns them.
+        events: Events, as returned by ``timeline.merge``.
 
     See Also:
-        timeline.merge: puts events in causal order.
+        timeline.merge: Merges events into causal order.
     """
     data = json.dumps([timeline.encode(event) for event in events])
-    # "</script>" inside an event must not end the page's script.
-    return _PAGE.replace(_DATA_MARK, data.replace("<", "\\u003c"))
+    # Escapes "<" so that "</script>" in an event does not end the script.
+    return _PAGE.replace(_DATA_PLACEHOLDER, data.replace("<", "\\u003c"))
