--- a/irisshelf/cli/__init__.py
+++ b/irisshelf/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The irisshelf command-line tool."""
+"""The ``irisshelf`` command-line tool."""
--- a/irisshelf/cli/bundle.py
+++ b/irisshelf/cli/bundle.py
@@ -25,7 +25,7 @@
 from irisshelf.store import messages
 
 app = typer.Typer(no_args_is_help=True, help="Make and roll out bundles.")
-_TRIES = 8
+_MAX_SUBMISSION_STEPS = 8
 
 FileArgument = Annotated[pathlib.Path, typer.Argument(help="A bundle file.")]
 OutOption = Annotated[
@@ -117,17 +117,19 @@
     sealed = envelope.Envelope(
         manifest=sealed.manifest, signatures=signed.envelope.signatures
     )
-    _store(client, sealed, sections)
-    wanted = head.Head(
+    _upload(client, sealed, sections)
+    new_head = head.Head(
         number=signed.bundle.number,
         object_key=envelope.object_key(sealed),
         submission_id=uuid.uuid4().hex,
     )
     try:
-        writes = head.submission(wanted, current=row)
+        writes = head.submission(new_head, current=row)
     except ValueError as exc:
         output.fail(f"{file}: {exc}", code=output.EXIT_REFUSED)
-    _report(_carry_out(client, wanted, writes), wanted, as_json)
+    _report_outcome(
+        _submit_until_settled(client, new_head, writes), new_head, as_json
+    )
 
 
 @app.command(
@@ -146,8 +148,8 @@
         status = remote.fetch_json(node, "/status")
         in_force[node.name] = status["bundle"] if status else None
     lines = [f"head: {number}"]
-    for name, found in sorted(in_force.items()):
-        shown = "no answer" if found is None else found
+    for name, bundle_number in sorted(in_force.items()):
+        shown = "no answer" if bundle_number is None else bundle_number
         lines.append(f"{name}: {shown}")
     document = {"head": number, "in_force": in_force}
     output.show("\n".join(lines), document, as_json=as_json)
@@ -175,16 +177,16 @@
             f"number is {number}, which the history does not have",
             code=output.EXIT_BAD_INPUT,
         )
-    bundle = _fetch(client, old)
-    again = bundle.model_copy(
+    bundle = _fetch_bundle(client, old)
+    reissued = bundle.model_copy(
         update={
             "number": current.number + 1,
             "note": f"rollback to {number}",
         }
     )
-    files.write_bundle(out, again)
+    files.write_bundle(out, reissued)
     output.show(
-        f"{out}: content of {number} as number {again.number}; sign and"
+        f"{out}: content of {number} as number {reissued.number}; sign and"
         " submit it",
         None,
         as_json=False,
@@ -205,10 +207,15 @@
     current: head.Head | None,
     signed: files.SignedFile,
 ) -> None:
-    """Refuses what no instance would put in force."""
+    """Ends the command if instances would reject the bundle's signatures.
+
+    Checks against the signers of the current bundle, or the new bundle's own
+    signers if there is none. Instances also apply their own settings, which
+    are not known here.
+    """
     signers = signed.bundle.signers
     if current is not None:
-        signers = _fetch(client, current).signers
+        signers = _fetch_bundle(client, current).signers
     checked = signing.verify(
         signed.envelope, keys=signers.keys, required=signers.required
     )
@@ -216,12 +223,12 @@
         output.fail(str(checked.err_value), code=output.EXIT_REFUSED)
 
 
-def _store(
+def _upload(
     client: interface.Platform,
     sealed: envelope.Envelope,
     sections: dict[str, bytes],
 ) -> None:
-    """Stores what the head will name, sections first."""
+    """Uploads the sections, then the envelope that the head will refer to."""
     objects = {
         envelope.section_key(sealed.manifest.sections[name]): data
         for name, data in sections.items()
@@ -236,19 +243,24 @@
             )
 
 
-def _carry_out(
+def _submit_until_settled(
     client: interface.Platform,
-    wanted: head.Head,
+    new_head: head.Head,
     writes: Sequence[messages.Write],
 ) -> head.Step:
-    """Submits, and reads back until it is known what became of it."""
+    """Submits the new head, reading it back while the outcome is unknown.
+
+    Returns:
+        The last step; neither committed nor superseded if the outcome is still
+        unknown after ``_MAX_SUBMISSION_STEPS``.
+    """
     step: head.Step = head.Resubmit()
-    for _ in range(_TRIES):
+    for _ in range(_MAX_SUBMISSION_STEPS):
         if isinstance(step, head.Resubmit):
-            step = head.after_submission(wanted, client.transact(writes))
+            step = head.after_submission(new_head, client.transact(writes))
         elif isinstance(step, head.ReadBack):
             step = head.after_read(
-                wanted,
+                new_head,
                 client.read(head.ROW),
                 if_version=writes[0].if_version,
             )
@@ -257,16 +269,18 @@
     return step
 
 
-def _report(step: head.Step, wanted: head.Head, as_json: bool) -> None:
+def _report_outcome(
+    step: head.Step, new_head: head.Head, as_json: bool
+) -> None:
     if isinstance(step, head.Committed):
         output.show(
-            f"bundle {wanted.number} submitted",
-            {"submitted": wanted.number},
+            f"bundle {new_head.number} submitted",
+            {"submitted": new_head.number},
             as_json=as_json,
         )
     elif isinstance(step, head.Superseded):
         output.fail(
-            f"bundle {wanted.number} lost against {step.winner.number}"
+            f"bundle {new_head.number} lost against {step.winner.number}"
             f" ({step.winner.object_key})",
             code=output.EXIT_REFUSED,
         )
@@ -278,28 +292,30 @@
         )
 
 
-def _fetch(client: interface.Platform, wanted: head.Head) -> schema.Bundle:
-    sealed = _object(client, wanted.object_key)
-    parsed = check.parse(sealed, model=envelope.Envelope)
+def _fetch_bundle(
+    client: interface.Platform, source: head.Head
+) -> schema.Bundle:
+    encoded = _fetch_object(client, source.object_key)
+    parsed = check.parse(encoded, model=envelope.Envelope)
     if isinstance(parsed, result.Err):
         output.fail(
-            f"{wanted.object_key}: {parsed.err_value}",
+            f"{source.object_key}: {parsed.err_value}",
             code=output.EXIT_REFUSED,
         )
     sections = {
-        name: _object(client, envelope.section_key(digest))
+        name: _fetch_object(client, envelope.section_key(digest))
         for name, digest in parsed.ok_value.manifest.sections.items()
     }
     opened = envelope.open_sections(parsed.ok_value, sections)
     if isinstance(opened, result.Err):
         output.fail(
-            f"{wanted.object_key}: {opened.err_value}",
+            f"{source.object_key}: {opened.err_value}",
             code=output.EXIT_REFUSED,
         )
     return opened.ok_value
 
 
-def _object(client: interface.Platform, key: str) -> bytes:
+def _fetch_object(client: interface.Platform, key: str) -> bytes:
     found = client.get_object(key)
     if isinstance(found, result.Err):
         output.fail(
--- a/irisshelf/cli/files.py
+++ b/irisshelf/cli/files.py
@@ -1,4 +1,4 @@
-"""Bundle files: plain bundles and signed ones."""
+"""Reads and writes bundle files, with and without signatures."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SignedFile(pydantic.BaseModel):
-    """A bundle with its envelope, as ``bundle sign`` writes it."""
+    """Bundle and its envelope, as written by ``bundle sign``."""
 
     model_config = pydantic.ConfigDict(frozen=True, extra="forbid")
 
@@ -25,7 +25,7 @@
 
 
 def read_text(path: pathlib.Path) -> str:
-    """Reads a file or ends the command."""
+    """Reads a text file; ends the command if that fails."""
     try:
         return path.read_text()
     except (OSError, UnicodeDecodeError) as exc:
@@ -33,7 +33,7 @@
 
 
 def write_text(path: pathlib.Path, text: str) -> None:
-    """Writes a file or ends the command."""
+    """Writes a text file; ends the command if that fails."""
     try:
         path.write_text(text)
     except OSError as exc:
@@ -41,12 +41,12 @@
 
 
 def read_bundle(path: pathlib.Path) -> schema.Bundle:
-    """Reads a plain or signed bundle file."""
+    """Reads the bundle from a plain or signed bundle file."""
     return read_signed(path).bundle
 
 
 def read_signed(path: pathlib.Path) -> SignedFile:
-    """Reads a bundle file; a plain one gets an envelope without signatures."""
+    """Reads a bundle file; for a plain one, creates an unsigned envelope."""
     text = read_text(path)
     document = _decode(path, text)
     if isinstance(document, dict) and "envelope" in document:
--- a/irisshelf/cli/instances.py
+++ b/irisshelf/cli/instances.py
@@ -1,4 +1,4 @@
-"""Shows the fleet's instances."""
+"""Command that shows the fleet's instances."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 ):
     """Shows each instance: state, bundle, open requests, what it sees."""
     client = remote.connect(platform)
-    found = []
+    instances = []
     for node in remote.list_instances(client):
         status = remote.fetch_json(node, "/status") or {"state": "no answer"}
-        found.append({"name": node.name, "listed": node.state.value, **status})
-    lines = [_line(item) for item in found]
-    document = {"instances": found}
+        instances.append(
+            {"name": node.name, "listed": node.state.value, **status}
+        )
+    lines = [_line(item) for item in instances]
+    document = {"instances": instances}
     output.show("\n".join(lines) or "none", document, as_json=as_json)
 
 
 def _line(item: dict) -> str:
-    unfit = [
+    unhealthy = [
         f"{name} {state}"
         for name, state in item.get("backend_servers", {}).items()
         if state != "healthy"
@@ -30,5 +32,5 @@
         f"{item['name']}: {item['state']} (listed {item['listed']}),"
         f" bundle {item.get('bundle', '?')},"
         f" {item.get('open_requests', '?')} open requests,"
-        f" unfit: {', '.join(unfit) or 'none'}"
+        f" unfit: {', '.join(unhealthy) or 'none'}"
     )
--- a/irisshelf/cli/keys.py
+++ b/irisshelf/cli/keys.py
@@ -1,4 +1,4 @@
-"""Commands on keys."""
+"""Commands that create keys and certificates."""
 
 from __future__ import annotations
 
@@ -62,10 +62,10 @@
 
     Keep its key away from instances: whoever has it can make one.
     """
-    made = authority.make_authority(name="irisshelf fleet", now=_now())
-    _make_folder(out)
-    _write_new(out / _AUTHORITY_CERTIFICATE, made.certificate)
-    _write_new(out / _AUTHORITY_KEY, made.key)
+    created = authority.make_authority(name="irisshelf fleet", now=_now())
+    _make_directory(out)
+    _write_new(out / _AUTHORITY_CERTIFICATE, created.certificate)
+    _write_new(out / _AUTHORITY_KEY, created.key)
     typer.echo(f"{out}: {_AUTHORITY_CERTIFICATE}, {_AUTHORITY_KEY}")
 
 
@@ -76,7 +76,7 @@
 )
 def instance_command(
     name: Annotated[str, typer.Argument(help="The instance's name.")],
-    signer: Annotated[
+    authority_dir: Annotated[
         pathlib.Path, typer.Option("--authority", help="Authority's folder.")
     ],
     out: Annotated[
@@ -84,17 +84,21 @@
     ],
 ):
     """Issues a certificate for one instance, for 90 days."""
-    held = authority.Issued(
-        certificate=files.read_text(signer / _AUTHORITY_CERTIFICATE).encode(),
-        key=files.read_text(signer / _AUTHORITY_KEY).encode(),
+    issuer = authority.Issued(
+        certificate=files.read_text(
+            authority_dir / _AUTHORITY_CERTIFICATE
+        ).encode(),
+        key=files.read_text(authority_dir / _AUTHORITY_KEY).encode(),
     )
     try:
-        made = authority.issue(held, name=name, now=_now())
+        issued = authority.issue(issuer, name=name, now=_now())
     except ValueError as exc:
-        output.fail(f"--authority {signer}: {exc}", code=output.EXIT_BAD_INPUT)
-    _make_folder(out)
-    _write_new(out / "instance.crt", made.certificate)
-    _write_new(out / "instance.key", made.key)
+        output.fail(
+            f"--authority {authority_dir}: {exc}", code=output.EXIT_BAD_INPUT
+        )
+    _make_directory(out)
+    _write_new(out / "instance.crt", issued.certificate)
+    _write_new(out / "instance.key", issued.key)
     typer.echo(f"{out}: instance.crt, instance.key")
 
 
@@ -102,7 +106,7 @@
     return datetime.datetime.now(tz=datetime.UTC)
 
 
-def _make_folder(path: pathlib.Path) -> None:
+def _make_directory(path: pathlib.Path) -> None:
     try:
         path.mkdir(parents=True, exist_ok=True)
     except OSError as exc:
@@ -110,7 +114,7 @@
 
 
 def _write_new(path: pathlib.Path, data: bytes) -> None:
-    """Writes a file that only its owner may read; keeps one that is there."""
+    """Writes a file readable only by its owner; never overwrites a file."""
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
         with open(os.open(path, flags, _PRIVATE_MODE), "wb") as file:
--- a/irisshelf/cli/logs.py
+++ b/irisshelf/cli/logs.py
@@ -1,4 +1,4 @@
-"""Reads the logs of entry instances by a request's id."""
+"""Command that shows what the instances' logs say about one request."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     lines = []
     for file in files:
         try:
-            with file.open(encoding="utf-8", errors="replace") as opened:
-                lines += request_trace.parse(opened)
+            with file.open(encoding="utf-8", errors="replace") as log_file:
+                lines += request_trace.parse(log_file)
         except OSError as exc:
             output.fail(
                 f"cannot read {file}: {exc}", code=output.EXIT_BAD_INPUT
             )
-    found = request_trace.trace(lines, request)
-    if not found:
+    trace = request_trace.trace(lines, request)
+    if not trace:
         output.fail(
             f"request is {request!r}: none of {len(lines)} lines is about it",
             code=output.EXIT_REFUSED,
@@ -44,7 +44,7 @@
             "request": line.request,
             **line.fields,
         }
-        for line in found
+        for line in trace
     ]
-    text = "\n".join(request_trace.render(line) for line in found)
+    text = "\n".join(request_trace.render(line) for line in trace)
     output.show(text, document, as_json=as_json)
--- a/irisshelf/cli/main.py
+++ b/irisshelf/cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' command-line tool, ``irisshelf``."""
+"""Entry point of the operators' command-line tool, ``irisshelf``."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Runs the program."""
+    """Runs the command-line tool."""
     app()
 
 
--- a/irisshelf/cli/output.py
+++ b/irisshelf/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands print and how they end."""
+"""Output and exit codes of commands."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def show(text: str, document: Any, *, as_json: bool) -> None:
-    """Prints a result for people or, with ``--json``, for programs."""
+    """Prints a result as text or, if ``as_json``, the document as JSON."""
     if as_json:
         typer.echo(json.dumps(document, sort_keys=True))
     elif text:
@@ -27,7 +27,7 @@
 
 
 def fail(message: str, *, code: int) -> NoReturn:
-    """Ends the command with a clear message.
+    """Prints an error message and ends the command with an exit code.
 
     Raises:
         typer.Exit: Always.
--- a/irisshelf/cli/remote.py
+++ b/irisshelf/cli/remote.py
@@ -1,4 +1,4 @@
-"""What commands need of the platform and of instances."""
+"""Access to the platform and to instances, for commands."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def connect(address: str) -> interface.Platform:
-    """Makes the platform's client from an address."""
+    """Returns a platform client; ends the command on an invalid address."""
     host, colon, port = address.rpartition(":")
     if not colon or not port.isdigit():
         output.fail(
@@ -47,7 +47,7 @@
 
 
 def read_row(platform: interface.Platform, key: str) -> messages.Row | None:
-    """Reads a row, or ends the command if the platform does not answer."""
+    """Returns a row, if any; ends the command if the platform fails."""
     row = platform.read(key)
     if isinstance(row, result.Ok):
         return row.ok_value
@@ -62,13 +62,13 @@
 def read_head(
     platform: interface.Platform,
 ) -> tuple[messages.Row | None, head.Head | None]:
-    """Reads the head's row and what it says."""
+    """Returns the head's row and the decoded head; None for a missing one."""
     row = read_row(platform, head.ROW)
     return row, head.decode(row.value) if row else None
 
 
 def list_instances(platform: interface.Platform) -> tuple[messages.Node, ...]:
-    """Lists instances of irisshelf, or ends the command."""
+    """Returns all instances; ends the command if the platform fails."""
     listed = platform.nodes(since=0)
     if isinstance(listed, result.Err):
         output.fail(
@@ -83,15 +83,15 @@
 
 
 def fetch_json(node: messages.Node, path: str) -> Any | None:
-    """Asks an instance's admin port; None if it does not answer."""
+    """Fetches JSON from an instance's admin port; None if that fails."""
     try:
         client = pool.new_client(
             node.admin_address, connect_s=TIMEOUT_S, idle_s=TIMEOUT_S
         )
     except ValueError:
         return None
-    sent = dispatch.request("GET", path, client)
-    body = sent.and_then(dispatch.read_all)
+    response = dispatch.request("GET", path, client)
+    body = response.and_then(dispatch.read_all)
     if isinstance(body, result.Err):
         return None
     try:
--- a/irisshelf/cli/settings.py
+++ b/irisshelf/cli/settings.py
@@ -1,4 +1,4 @@
-"""Commands on settings files."""
+"""Commands for settings files."""
 
 from __future__ import annotations
 
--- a/irisshelf/cli/timeline.py
+++ b/irisshelf/cli/timeline.py
@@ -57,7 +57,7 @@
 
 
 def _line(event: timeline.Event) -> str:
-    at = datetime.datetime.fromtimestamp(
+    timestamp = datetime.datetime.fromtimestamp(
         event.stamp.wall_s, tz=datetime.UTC
     ).isoformat(timespec="milliseconds")
     fields = [
@@ -66,5 +66,11 @@
         if (value := getattr(event, name))
     ]
     return " ".join(
-        [at, event.stamp.process, event.kind.value, *fields, event.detail]
+        [
+            timestamp,
+            event.stamp.process,
+            event.kind.value,
+            *fields,
+            event.detail,
+        ]
     ).rstrip()
--- a/irisshelf/observe/timeline_page.py
+++ b/irisshelf/observe/timeline_page.py
@@ -51,36 +51,36 @@
 const lanes = [...new Set(events.map(e => e.stamp.process))].sort();
 const first = events.length ? events[0].stamp.wall_s : 0;
 const filter = document.getElementById("filter");
-const most = 2000;
+const maxRows = 2000;
 let request = "";
 
 function cell(row, text, tag) {
-  const made = document.createElement(tag || "td");
-  made.textContent = text;
-  row.append(made);
-  return made;
+  const element = document.createElement(tag || "td");
+  element.textContent = text;
+  row.append(element);
+  return element;
 }
 
-function words(e) {
+function searchText(e) {
   return [e.kind, e.request, e.attempt, e.chat, e.engine,
     e.bundle ? "bundle " + e.bundle : "", e.detail, e.stamp.process].join(" ");
 }
 
-function wanted(e) {
+function matches(e) {
   if (request && e.request !== request) return false;
-  return words(e).toLowerCase().includes(filter.value.toLowerCase());
+  return searchText(e).toLowerCase().includes(filter.value.toLowerCase());
 }
 
 function show() {
-  const found = events.filter(wanted);
+  const found = events.filter(matches);
   const body = document.getElementById("body");
   body.replaceChildren();
-  for (const e of found.slice(0, most)) {
+  for (const e of found.slice(0, maxRows)) {
     const row = document.createElement("tr");
     cell(row, "+" + (e.stamp.wall_s - first).toFixed(3) + " s").className =
       "time";
     for (const lane of lanes) {
-      const place = cell(row, "");
+      const laneCell = cell(row, "");
       if (lane !== e.stamp.process) continue;
       const box = document.createElement("div");
       box.className = "event " + e.kind;
@@ -89,15 +89,16 @@
       more.textContent = " " + [e.engine, e.bundle || "",
         e.request.slice(0, 8)].filter(Boolean).join(" ");
       box.append(more);
-      box.title = words(e);
+      box.title = searchText(e);
       box.onclick = () => { request = e.request; show(); };
-      place.append(box);
+      laneCell.append(box);
     }
     body.append(row);
   }
-  const cut = found.length > most ? ", the first " + most + " shown" : "";
+  const truncated = found.length > maxRows ?
+    ", the first " + maxRows + " shown" : "";
   document.getElementById("count").textContent =
-    found.length + " of " + events.length + " events" + cut +
+    found.length + " of " + events.length + " events" + truncated +
     (request ? ", request " + request.slice(0, 8) : "");
 }
 
--- a/irisshelf/tests/test_charts.py
+++ b/irisshelf/tests/test_charts.py
@@ -1,4 +1,4 @@
-"""Each chart's edges, walked through the code that follows the chart."""
+"""Tests that the code that uses each chart follows all its transitions."""
 
 import random
 
@@ -18,11 +18,11 @@
 
 
 def _path_to(name, state):
-    """Returns events that lead from a chart's start to a state."""
-    found = chart.load(name)
-    paths = {found.initial: ()}
-    for _ in found.edges:
-        for edge in found.edges:
+    """Returns events that lead from a chart's initial state to a state."""
+    loaded = chart.load(name)
+    paths = {loaded.initial: ()}
+    for _ in loaded.edges:
+        for edge in loaded.edges:
             if edge.source in paths and edge.dest not in paths:
                 paths[edge.dest] = (*paths[edge.source], edge.event)
     return paths[state]
@@ -59,36 +59,36 @@
     )
     bundle = schema.Bundle.model_validate(examples.bundle_document())
     instance = harness.Instance(name="i", platform=platform, bundle=bundle)
-    nd = instance.node
-    nd._state = chart.load("instance").initial
+    node = instance.node
+    node._state = chart.load("instance").initial
     for event in _path_to("instance", edge.source):
-        nd.move(event)
-    nd.move(edge.event)
-    assert nd.state == edge.dest
-    assert nd.ready == (edge.dest == "serving")
-    assert nd.accepts == (edge.dest in ("serving", "draining"))
-    got = instance.call("GET", "/services/crew/x", key="wrong")
-    assert got.status == (401 if nd.accepts else 503)
+        node.move(event)
+    node.move(edge.event)
+    assert node.state == edge.dest
+    assert node.ready == (edge.dest == "serving")
+    assert node.accepts == (edge.dest in ("serving", "draining"))
+    response = instance.call("GET", "/services/crew/x", key="wrong")
+    assert response.status == (401 if node.accepts else 503)
     if edge.dest == "draining":
-        assert got.headers["connection"] == "close"
+        assert response.headers["connection"] == "close"
     instance.stop()
 
 
 @pytest.mark.parametrize(
     ("steps", "states"),
     [
-        # A bundle comes, then a newer one: see, fetched, verified, twice.
+        # Two bundles in succession: see, fetched, verified for each.
         (("good", "good"), ["in_force", "in_force"]),
-        # The object store is down, then up: see, fetch_failed, see, ...
+        # The object store fails, then recovers: see, fetch_failed, see, ...
         (("lost", "good"), ["idle", "in_force"]),
-        # A bundle that is not signed, then a good one: refused, see.
+        # An unsigned bundle, then a valid one: refused, see.
         (("unsigned", "good"), ["rejected", "in_force"]),
         (("good", "unsigned", "good"), ["in_force", "rejected", "in_force"]),
     ],
 )
 def test_bundle_roll(steps, states):
     rig = test_platform._Rig()
-    found = []
+    observed = []
     for number, step in enumerate(steps, start=1):
         rig.put(number, signers=() if step == "unsigned" else ("anna",))
         get_object = rig.platform.get_object
@@ -96,5 +96,5 @@
             rig.platform.get_object = lambda key: test_platform.LOST
         rig.follower.look()
         rig.platform.get_object = get_object
-        found.append(rig.follower.state)
-    assert found == states
+        observed.append(rig.follower.state)
+    assert observed == states
--- a/irisshelf/tests/test_cli.py
+++ b/irisshelf/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command-line tool and settings, as operators use them."""
+"""Tests of the command-line tool and of settings validation."""
 
 import json
 import random
@@ -19,8 +19,8 @@
 from irisshelf.tests import examples
 
 
-class _Desk:
-    """An operator's folder and a platform."""
+class _Operator:
+    """Working directory of an operator, and a platform served by HTTP."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -44,11 +44,11 @@
 
     def sign(self, path, name="anna"):
         out = path.with_suffix(".signed.json")
-        done = self.run(
+        result = self.run(
             "bundle", "sign", path, "--key", self.folder / f"{name}.pem",
             "--name", name, "--out", out,
         )  # fmt: skip
-        assert done.exit_code == 0, done.output
+        assert result.exit_code == 0, result.output
         return out
 
     def submit(self, path, *args):
@@ -58,23 +58,26 @@
 
 
 @pytest.fixture
-def desk(tmp_path):
-    made = _Desk(tmp_path)
+def operator(tmp_path):
+    made = _Operator(tmp_path)
     yield made
     made.server.stop()
 
 
-def test_a_bundle_goes_in_and_the_head_moves(desk):
-    done = desk.submit(desk.sign(desk.bundle(1)), "--json")
-    assert (done.exit_code, json.loads(done.output)) == (0, {"submitted": 1})
-    status = desk.run(
-        "bundle", "status", "--platform", desk.server.address, "--json"
+def test_submit_moves_the_head(operator):
+    result = operator.submit(operator.sign(operator.bundle(1)), "--json")
+    assert (result.exit_code, json.loads(result.output)) == (
+        0,
+        {"submitted": 1},
+    )
+    status = operator.run(
+        "bundle", "status", "--platform", operator.server.address, "--json"
     )
     assert json.loads(status.output) == {"head": 1, "in_force": {}}
 
 
 @pytest.mark.parametrize(
-    ("number", "signer", "code", "part"),
+    ("number", "signer", "code", "expected_text"),
     [
         (2, "anna", 0, "bundle 2 submitted"),
         (1, "anna", 1, "allowed: above 1"),
@@ -82,61 +85,61 @@
         (2, None, 1, "too_few_valid_signatures"),
     ],
 )
-def test_a_second_submission(desk, number, signer, code, part):
-    desk.submit(desk.sign(desk.bundle(1)))
-    path = desk.bundle(number, note="again")
-    done = desk.submit(desk.sign(path, signer) if signer else path)
-    assert done.exit_code == code
-    assert part in done.output
+def test_second_submission(operator, number, signer, code, expected_text):
+    operator.submit(operator.sign(operator.bundle(1)))
+    path = operator.bundle(number, note="again")
+    result = operator.submit(operator.sign(path, signer) if signer else path)
+    assert result.exit_code == code
+    assert expected_text in result.output
 
 
-def test_a_lost_answer_is_settled(desk):
-    path = desk.sign(desk.bundle(1))
-    transact = desk.platform.transact
+def test_lost_response_to_submission_is_resolved(operator):
+    path = operator.sign(operator.bundle(1))
+    transact = operator.platform.transact
     calls = []
 
-    def lossy(writes):
+    def lose_first_answer(writes):
         calls.append(len(writes))
-        desk.platform.faults = fake_platform.Faults(
+        operator.platform.faults = fake_platform.Faults(
             lose_answer=1.0 if len(calls) == 1 else 0.0
         )
         answer = transact(writes)
-        desk.platform.faults = fake_platform.Faults()
+        operator.platform.faults = fake_platform.Faults()
         return answer
 
-    desk.platform.transact = lossy
-    done = desk.submit(path)
-    assert (done.exit_code, len(calls)) == (0, 1)
+    operator.platform.transact = lose_first_answer
+    result = operator.submit(path)
+    assert (result.exit_code, len(calls)) == (0, 1)
 
 
-def test_a_dead_platform_is_a_clear_error(desk):
-    path = desk.sign(desk.bundle(1))
-    desk.server.stop()
-    done = desk.submit(path)
-    assert done.exit_code == 3
-    assert "did not answer" in done.output
-    assert "Traceback" not in done.output
+def test_unreachable_platform_gives_a_clear_error(operator):
+    path = operator.sign(operator.bundle(1))
+    operator.server.stop()
+    result = operator.submit(path)
+    assert result.exit_code == 3
+    assert "did not answer" in result.output
+    assert "Traceback" not in result.output
 
 
-def test_a_rollback_is_a_new_number_with_old_content(desk):
-    desk.submit(desk.sign(desk.bundle(1, note="one")))
+def test_rollback_reissues_old_content_under_a_new_number(operator):
+    operator.submit(operator.sign(operator.bundle(1, note="one")))
     changed = examples.bundle_document()["services"]
     changed["lm"]["load_bound"] = 2.0
-    desk.submit(desk.sign(desk.bundle(2, services=changed)))
-    out = desk.folder / "back.json"
-    done = desk.run(
+    operator.submit(operator.sign(operator.bundle(2, services=changed)))
+    out = operator.folder / "back.json"
+    result = operator.run(
         "bundle", "rollback", "1", "--out", out,
-        "--platform", desk.server.address,
+        "--platform", operator.server.address,
     )  # fmt: skip
-    assert done.exit_code == 0
+    assert result.exit_code == 0
     document = json.loads(out.read_text())
     assert document["number"] == 3
     assert document["services"]["lm"]["load_bound"] == 1.25
-    assert desk.submit(desk.sign(out)).exit_code == 0
+    assert operator.submit(operator.sign(out)).exit_code == 0
 
 
 @pytest.mark.parametrize(
-    ("args", "code", "part"),
+    ("args", "code", "expected_text"),
     [
         (("bundle", "check", "{bad}"), 2, "did you mean 'number'"),
         (("bundle", "check", "{missing}"), 2, "cannot read"),
@@ -150,43 +153,45 @@
         (("keys", "team", "--json"), 0, "key_sha256"),
     ],
 )
-def test_commands_tell_clearly(desk, args, code, part):
-    good = desk.bundle(1)
-    bad = desk.folder / "bad.json"
+def test_commands_give_clear_messages(operator, args, code, expected_text):
+    good = operator.bundle(1)
+    bad = operator.folder / "bad.json"
     bad.write_text(good.read_text().replace('"number"', '"numbr"'))
     names = {
         "{good}": good,
         "{bad}": bad,
-        "{other}": desk.bundle(1, name="other", note="x"),
-        "{missing}": desk.folder / "missing.json",
-        "{folder}": desk.folder,
+        "{other}": operator.bundle(1, name="other", note="x"),
+        "{missing}": operator.folder / "missing.json",
+        "{folder}": operator.folder,
     }
-    done = desk.run(*(names.get(arg, arg) for arg in args))
-    assert (done.exit_code, part in done.output) == (code, True), done.output
-    assert "Traceback" not in done.output
+    result = operator.run(*(names.get(arg, arg) for arg in args))
+    assert (result.exit_code, expected_text in result.output) == (code, True), (
+        result.output
+    )
+    assert "Traceback" not in result.output
 
 
-def test_an_altered_signed_file_is_refused(desk):
-    signed = desk.sign(desk.bundle(1))
+def test_altered_signed_file_is_rejected(operator):
+    signed = operator.sign(operator.bundle(1))
     document = json.loads(signed.read_text())
     document["bundle"]["services"]["lm"]["load_bound"] = 3.0
     signed.write_text(json.dumps(document))
-    done = desk.submit(signed)
-    assert done.exit_code == 1
-    assert "altered after it was signed" in done.output
+    result = operator.submit(signed)
+    assert result.exit_code == 1
+    assert "altered after it was signed" in result.output
 
 
-def test_a_new_key_is_readable_by_its_owner_alone(desk):
-    out = desk.folder / "new.pem"
-    done = desk.run("keys", "new", "--out", out, "--json")
-    assert len(json.loads(done.output)["public_key"]) == 44
+def test_new_key_is_readable_only_by_its_owner(operator):
+    out = operator.folder / "new.pem"
+    result = operator.run("keys", "new", "--out", out, "--json")
+    assert len(json.loads(result.output)["public_key"]) == 44
     assert out.stat().st_mode & 0o077 == 0
-    assert desk.run("keys", "new", "--out", out).exit_code == 2
+    assert operator.run("keys", "new", "--out", out).exit_code == 2
 
 
 @pytest.mark.parametrize("command", ["instances", "timeline"])
-def test_an_instance_that_does_not_answer_is_named(desk, command):
-    desk.platform.set_node(
+def test_unresponsive_instance_is_listed(operator, command):
+    operator.platform.set_node(
         messages.Node(
             name="espoo-a-1",
             role=messages.NodeRole.INSTANCE,
@@ -196,14 +201,14 @@
             admin_address="127.0.0.1:1",
         )
     )
-    done = desk.run(command, "--platform", desk.server.address)
-    assert done.exit_code == 0
-    assert "espoo-a-1" in done.output
-    assert "no answer" in done.output
+    result = operator.run(command, "--platform", operator.server.address)
+    assert result.exit_code == 0
+    assert "espoo-a-1" in result.output
+    assert "no answer" in result.output
 
 
 @pytest.mark.parametrize(
-    ("change", "part"),
+    ("change", "expected_text"),
     [
         ({"instanse": "x"}, "did you mean 'instance'"),
         ({"listen": "localhost:80"}, "pattern"),
@@ -219,7 +224,9 @@
         ),
     ],
 )
-def test_settings_errors_name_field_and_what_is_allowed(tmp_path, change, part):
+def test_settings_errors_name_the_field_and_allowed_values(
+    tmp_path, change, expected_text
+):
     document = {
         "instance": "espoo-a-1",
         "data_centre": "espoo-a",
@@ -236,20 +243,20 @@
     }
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(document))
-    assert part in str(settings.load(path).unwrap_err())
+    assert expected_text in str(settings.load(path).unwrap_err())
 
 
-def test_the_page_of_the_time_line_holds_every_event_and_no_script_of_theirs():
-    made = timeline.Timeline(
+def test_timeline_page_contains_all_events_and_escapes_scripts():
+    recorded = timeline.Timeline(
         clock=clock.HybridClock(process="espoo-a-1", wall=lambda: 5.0)
     )
-    made.add(timeline.Kind.REQUEST, request="r1", detail="</script><b>x")
-    made.add(timeline.Kind.SEND, request="r1", engine="s/e0")
-    page = timeline_page.render(made.events())
+    recorded.add(timeline.Kind.REQUEST, request="r1", detail="</script><b>x")
+    recorded.add(timeline.Kind.SEND, request="r1", engine="s/e0")
+    page = timeline_page.render(recorded.events())
     assert page.count("</script>") == 1
     data = page.partition("const events = ")[2].partition(";\nconst")[0]
     decoded = [timeline.decode(item) for item in json.loads(data)]
-    assert tuple(decoded) == made.events()
+    assert tuple(decoded) == recorded.events()
 
 
 _LOG = """
@@ -275,18 +282,22 @@
         ("r3", [], 1),
     ],
 )
-def test_logs_tell_a_requests_story(tmp_path, request_id, expected, code):
+def test_logs_show_a_requests_lines_and_related_events(
+    tmp_path, request_id, expected, code
+):
     file = tmp_path / "entry.log"
     file.write_text(_LOG)
-    ran = testing.CliRunner().invoke(
+    result = testing.CliRunner().invoke(
         main.app, ["logs", request_id, str(file), "--json"]
     )
-    assert ran.exit_code == code
+    assert result.exit_code == code
     if code == 0:
-        found = [line["message"] for line in json.loads(ran.stdout)]
+        found = [line["message"] for line in json.loads(result.stdout)]
         assert found == expected
 
 
-def test_logs_that_cannot_be_read_are_named(tmp_path):
-    ran = testing.CliRunner().invoke(main.app, ["logs", "r1", "/no/such/file"])
-    assert ran.exit_code == 2
+def test_unreadable_log_file_is_bad_input(tmp_path):
+    result = testing.CliRunner().invoke(
+        main.app, ["logs", "r1", "/no/such/file"]
+    )
+    assert result.exit_code == 2
