--- a/irisshelf/observe/decision_log.py
+++ b/irisshelf/observe/decision_log.py
@@ -105,7 +105,7 @@
 
         Args:
             wait: Whether to wait while the descriptor is not writable; if not,
-                writing stops there.
+                writing stops there and the rest of the batch is lost.
         """
         while self._queue:
             lines = []
