--- a/irisshelf/backends/engine.py
+++ b/irisshelf/backends/engine.py
@@ -120,7 +120,7 @@
     address: str,
     *,
     timeout_s: float,
-    count: traffic.Count,
+    count: traffic.ByteCounter,
 ) -> result.Result[messages.ServerLoadReport, errors.CallError]:
     """Fetches the load of all engines of a backend server.
 
@@ -235,7 +235,7 @@
     path: str,
     *,
     timeout_s: float,
-    count: traffic.Count | None = None,
+    count: traffic.ByteCounter | None = None,
 ) -> result.Result[Any, errors.CallError]:
     client = clients.client(address, connect_s=timeout_s, idle_s=timeout_s)
     received = dispatch.request("GET", path, client)
@@ -245,7 +245,7 @@
         return result.Err(dispatch.error_from_response(received.ok_value))
     content = dispatch.read_all(received.ok_value)
     if count is not None:
-        size = traffic.of_exchange(
+        size = traffic.exchange_bytes(
             path, b"", received.ok_value, content.unwrap_or(b"")
         )
         count("probe", size)
--- a/irisshelf/cli/timeline.py
+++ b/irisshelf/cli/timeline.py
@@ -1,4 +1,4 @@
-"""Merges the time lines of all instances."""
+"""Command that merges the time lines of all instances."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
     client = remote.connect(platform)
     events = []
     missing = []
-    for node in remote.nodes(client):
-        answer = remote.ask(node, "/timeline")
+    for node in remote.list_instances(client):
+        answer = remote.fetch_json(node, "/timeline")
         if answer is None:
             missing.append(node.name)
             continue
         events += [timeline.decode(item) for item in answer["events"]]
-    wanted = timeline.Filter(
+    event_filter = timeline.Filter(
         request=request, chat=chat, engine=engine, bundle=bundle
     )
-    merged = timeline.merge(events, wanted=wanted)
+    merged = timeline.merge(events, event_filter=event_filter)
     if html is not None:
         files.write_text(html, timeline_page.render(merged))
         typer.echo(f"{html}: {len(merged)} events", err=as_json)
@@ -57,7 +57,7 @@
 
 
 def _line(event: timeline.Event) -> str:
-    at = datetime.datetime.fromtimestamp(
+    timestamp = datetime.datetime.fromtimestamp(
         event.stamp.wall_s, tz=datetime.UTC
     ).isoformat(timespec="milliseconds")
     fields = [
@@ -66,5 +66,11 @@
         if (value := getattr(event, name))
     ]
     return " ".join(
-        [at, event.stamp.process, event.kind.value, *fields, event.detail]
+        [
+            timestamp,
+            event.stamp.process,
+            event.kind.value,
+            *fields,
+            event.detail,
+        ]
     ).rstrip()
