--- a/irisshelf/platform/http_dialect.py
+++ b/irisshelf/platform/http_dialect.py
@@ -73,14 +73,14 @@
             for name, value in inbound.headers
         }
         try:
-            return result.Ok(_ask(inbound.target, found))
+            return result.Ok(_parse_head(inbound.target, found))
         except ValueError as exc:
             return result.Err(str(exc))
 
     def backend_request_headers(
         self, inbound: messages.InboundRequest, send: messages.ForwardedContext
     ) -> list[tuple[bytes, bytes]]:
-        """See ``dialect.Dialect.request_headers``."""
+        """See ``dialect.Dialect.backend_request_headers``."""
         dropped = _HOP | _OWN | _named_in_connection(inbound.headers)
         headers = [
             (name, value)
@@ -98,7 +98,7 @@
     def parse_answer(
         self, status: int, headers: messages.Headers
     ) -> messages.AnswerHead:
-        """See ``dialect.Dialect.answer_head``."""
+        """See ``dialect.Dialect.parse_answer``."""
         found = {
             name.lower(): value.decode("latin-1").strip()
             for name, value in headers
@@ -121,7 +121,7 @@
     def local_answer_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> list[tuple[bytes, bytes]]:
-        """See ``dialect.Dialect.own_headers``."""
+        """See ``dialect.Dialect.local_answer_headers``."""
         headers = [(b"Content-Type", b"application/json")]
         if request_id:
             headers.append((b"Request-Id", request_id.encode("latin-1")))
@@ -181,7 +181,7 @@
     return float(text) if len(digits) <= _MOST_DIGITS else _LONGEST_REST_S
 
 
-def _ask(target: str, found: dict[bytes, str]) -> messages.RequestHead:
+def _parse_head(target: str, found: dict[bytes, str]) -> messages.RequestHead:
     request_id = found.get(_REQUEST_ID, "")
     if not request_id:
         raise ValueError("header 'Request-Id' is missing, allowed: an id")
