--- a/irisshelf/coordination/facts.py
+++ b/irisshelf/coordination/facts.py
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServerPause:
-    """A server has told an instance that it accepts no requests for a while.
+    """A server has announced that it accepts no requests for a while.
 
     Attributes:
         server: Key of the server.
--- a/irisshelf/coordination/local_membership.py
+++ b/irisshelf/coordination/local_membership.py
@@ -12,7 +12,7 @@
 from irisshelf.coordination import membership as membership_module
 
 # Instances query each other every 2.5 s and announce their own name in the
-# query, so that within this time each has heard of all others.
+# query, so that within this time each knows of all others.
 DISCOVERY_TIME_S = 5.0
 
 
--- a/irisshelf/coordination/membership.py
+++ b/irisshelf/coordination/membership.py
@@ -1,6 +1,6 @@
 """The known live instances, and the leader of a data centre among them.
 
-All instances rank the members heard from recently in the same way, regardless
+All instances rank the recently active members in the same way, regardless
 of the order in which they learned of them. Views that differ for a while cost a
 datagram or two and nothing else. Members with fast links rank first, as the
 leader of a data centre sends to all others.
@@ -13,7 +13,7 @@
 import hashlib
 from collections.abc import Iterable
 
-# Members not heard from for this long are dropped; they query every 2.5 s.
+# Members that sent nothing for this long are dropped; they query every 2.5 s.
 EXPIRY_S = 6.0
 # Instances of other data centres are queried less often.
 REMOTE_EXPIRY_S = 20.0
@@ -83,7 +83,7 @@
     def sample(
         self, data_centre: str, now: float, most: int
     ) -> list[tuple[Member, float]]:
-        """Returns the members to tell an instance of, with their ages.
+        """Returns the members to report to an instance, with their ages.
 
         Args:
             data_centre: The data centre of that instance. All of its members
--- a/irisshelf/gateway/knowledge/follower.py
+++ b/irisshelf/gateway/knowledge/follower.py
@@ -24,7 +24,7 @@
 # A compromise: the store bills each request, and an instance should recover
 # soon after the store does.
 _BACKOFF_S = (0.1, 0.3, 0.6)
-# Readers may back off for longer: their watcher tells them of the recovery.
+# Readers may back off for longer: their watcher notifies them of the recovery.
 _BACKOFF_READER_S = (*_BACKOFF_S, 1.5)
 # Spreads retries, as all instances see the store fail at the same moment.
 _JITTER = (0.5, 1.5)
--- a/irisshelf/routing/direct/cache_locations.py
+++ b/irisshelf/routing/direct/cache_locations.py
@@ -2,7 +2,7 @@
 
 A server that was sent a prompt has processed its shared parts, or processes
 them before the next request. Instances record their own requests and learn of
-each other's by gossip. They are not told what a server has evicted since, so
+each other's by gossip. Evictions by a server are not reported to them, so
 entries expire after ``ENTRY_TTL_S``.
 """
 
@@ -12,7 +12,7 @@
 import dataclasses
 import hashlib
 
-# A server may have evicted a part that was not used for so long; reprocessing
+# A server may have evicted a part that was unused for this time; reprocessing
 # it after ten seconds without use is acceptable to the users.
 ENTRY_TTL_S = 15.0
 # Interval at which a part that stays in use is announced again.
--- a/irisshelf/routing/direct/fetch_source.py
+++ b/irisshelf/routing/direct/fetch_source.py
@@ -1,7 +1,7 @@
 """Selection of the server to fetch shared parts of a prompt from.
 
-A server that is told of a source fetches what the source has cached of the
-prompt beyond its own cache; processing it again costs several times as much.
+A server that is given a source fetches the parts of the prompt that the source
+has cached and it has not; processing them again costs several times as much.
 Which server has which part is known from this instance's own requests and from
 other instances, late and with gaps. There are two strategies:
 
--- a/irisshelf/routing/direct/outage.py
+++ b/irisshelf/routing/direct/outage.py
@@ -7,8 +7,8 @@
 
 import random
 
-# Callers hardly wait longer, whatever they are told: a third of the 12 s that
-# the most patient ones have.
+# Callers rarely wait longer, whatever Retry-After says: a third of 12 s, the
+# longest time-out among them.
 _MAX_RETRY_AFTER_S = 4.0
 _MIN_RETRY_AFTER_S = 0.1
 # Jitter factors, so that callers do not all retry at once.
--- a/irisshelf/routing/direct/overload.py
+++ b/irisshelf/routing/direct/overload.py
@@ -12,7 +12,7 @@
 - The admitted share of each priority and team is at least ``MIN_SERVED_RATIO``
   times that of all requests, so that a long overload starves nobody.
 
-All inputs are learnt from servers and requests; each instance decides on its
+All inputs are observed on servers and requests; each instance decides on its
 own.
 """
 
@@ -44,11 +44,10 @@
 _QUIET_S = 1.0
 # An overload is expected to continue for this multiple of its duration so far.
 _REMAINING_FACTOR = 2.0
-# Least time to retry after: a slot has to become free meanwhile.
+# Minimum Retry-After: a slot has to become free in the meantime.
 _MIN_RETRY_AFTER_S = 0.2
-# Greatest time to retry after: callers that act for a person have given up by
-# then, and the length of such an overload says little about how long it still
-# lasts.
+# Maximum Retry-After: callers that act for a person have given up by then, and
+# the duration of such an overload so far is a poor predictor of the rest.
 _MAX_RETRY_AFTER_S = 30.0
 # Share of the rate of admitted requests that is reserved for retries.
 _RETRY_SHARE = 0.5
--- a/irisshelf/routing/direct/policy.py
+++ b/irisshelf/routing/direct/policy.py
@@ -19,8 +19,8 @@
     Attributes:
         near_homes: Shared parts are copied to a home in the instance's own data
             centre.
-        fetches: Servers are told which server has the shared parts that they
-            lack.
+        fetches: Requests name the server that has the shared parts that the
+            selected server lacks.
         load_bound: A server far above the mean load is skipped.
         rests: Servers that fail requests are ejected for a while.
         patience: Requests that may run again are moved away from a server that
