--- a/bench/bundle.py
+++ b/bench/bundle.py
@@ -110,10 +110,10 @@
 
 
 def _routers() -> list[service.ServiceRouter]:
-    book = health.HealthTracker()
+    tracker = health.HealthTracker()
     return [
         service.ServiceRouter(
-            name=f"model-{i}", health_tracker=book, rng=random.Random(1)
+            name=f"model-{i}", health_tracker=tracker, rng=random.Random(1)
         )
         for i in range(MODELS)
     ]
--- a/bench/routing/baselines.py
+++ b/bench/routing/baselines.py
@@ -86,7 +86,7 @@
 
     def __init__(self, **kwargs):
         super().__init__(**kwargs)
-        self.books = [
+        self.trackers = [
             load.LoadTracker(size=self.count, instances=self.routers)
             for _ in range(self.routers)
         ]
@@ -100,17 +100,17 @@
 
     def sent(self, req, engine, now):
         """Counts a request."""
-        self.books[self.router(req)].add(engine, self.work(req), now)
+        self.trackers[self.router(req)].add(engine, self.work(req), now)
 
     def ended(self, req, engine, now):
         """Counts a request no more."""
-        self.books[self.router(req)].add(engine, -self.work(req), now)
+        self.trackers[self.router(req)].add(engine, -self.work(req), now)
 
     def report(self, engine, work, at_s, now):
-        """Takes an engine's word into every router's book."""
+        """Takes an engine's word into every router's tracker."""
         if self.use_reports:
-            for book in self.books:
-                book.report(engine, load.LoadReport(work=work, at_s=at_s))
+            for tracker in self.trackers:
+                tracker.report(engine, load.LoadReport(work=work, at_s=at_s))
 
 
 class LeastLoad(_Counting):
@@ -120,10 +120,10 @@
 
     def place(self, req, view) -> int | None:
         """Chooses an engine."""
-        book = self.books[self.router(req)]
+        tracker = self.trackers[self.router(req)]
         live = self.live(req)
         self.rng.shuffle(live)
-        return min(live, key=book.estimate)
+        return min(live, key=tracker.estimate)
 
 
 class ConsistentHash(_Base):
@@ -162,13 +162,13 @@
     def place(self, req, view) -> int | None:
         """Chooses an engine."""
         up = self.up[self.router(req)]
-        book = self.books[self.router(req)]
+        tracker = self.trackers[self.router(req)]
         work = self.work(req)
-        allowed = self.bound * (book.own_total + work) / max(1, sum(up))
+        allowed = self.bound * (tracker.own_total + work) / max(1, sum(up))
         order = self.ranking.full_order(req.context.chat_key)
         live = [i for i in order if up[i]]
         for engine in live:
-            own = book.own_work(engine)
+            own = tracker.own_work(engine)
             if own == 0 or own < allowed:
                 return engine
         return live[0] if live else None
@@ -183,16 +183,16 @@
     def place(self, req, view) -> int | None:
         """Chooses an engine."""
         up = self.up[self.router(req)]
-        book = self.books[self.router(req)]
+        tracker = self.trackers[self.router(req)]
         work = self.work(req)
-        allowed = self.bound * (book.total() + work) / max(1, sum(up))
+        allowed = self.bound * (tracker.total() + work) / max(1, sum(up))
         order = self.ranking.full_order(req.context.chat_key)
         live = [i for i in order if up[i]]
         for engine in live:
-            found = book.estimate(engine)
+            found = tracker.estimate(engine)
             if found < allowed:
                 return engine
-        return min(live, key=book.estimate) if live else None
+        return min(live, key=tracker.estimate) if live else None
 
 
 class Oracle(_Base):
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -38,7 +38,9 @@
             lambda i=inst, j=job: _serve(i, j)
         )
         end = crash_suspects.ServerCrash(server_key=b"other", at_s=inst.now())
-        inst.crashes.suspects.record_crash(b"another content.", end, inst.now())
+        inst.crash_tracker.suspects.record_crash(
+            b"another content.", end, inst.now()
+        )
         figures[f"suspects_others_{size}_b_us"] = _best_us(
             lambda i=inst, j=job: _serve(i, j)
         )
@@ -53,8 +55,8 @@
 
 def _serve(inst: instance.Instance, job: messages.Job) -> None:
     inst.log_suspend()
-    inst.crashes.verdict(job)
-    inst.crashes.record_success(job)
+    inst.crash_tracker.verdict(job)
+    inst.crash_tracker.record_success(job)
 
 
 def _instance() -> instance.Instance:
--- a/irisshelf/gateway/daemon.py
+++ b/irisshelf/gateway/daemon.py
@@ -102,7 +102,7 @@
             address=cfg.listen.peers, log=self._log
         )
         self._crash_gossip = crash_gossip.CrashGossip(
-            crashes=self._inst.crashes,
+            crashes=self._inst.crash_tracker,
             datagrams=self._datagrams,
             membership=self._peers.membership,
             log=self._log,
@@ -208,7 +208,7 @@
             handle=handle,
             refuse=self._front.refuse,
             log=self._log,
-            most=max(
+            max_connections=max(
                 1, int(_CALLER_DESCRIPTOR_SHARE * self._inst.cfg.descriptors)
             ),
         )
--- a/irisshelf/gateway/instance.py
+++ b/irisshelf/gateway/instance.py
@@ -73,7 +73,7 @@
             rng=rng,
             now=now,
         )
-        self.crashes = crash_tracker.CrashTracker(
+        self.crash_tracker = crash_tracker.CrashTracker(
             servers=self.servers,
             listed=self.directory,
             log=log,
--- a/irisshelf/gateway/listener.py
+++ b/irisshelf/gateway/listener.py
@@ -30,7 +30,7 @@
         handle: Handles a request.
         refuse: Builds the response to a request that cannot be parsed.
         log: Log for errors.
-        most: Maximum number of open connections; None for no limit.
+        max_connections: Maximum number of open connections; None for no limit.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         ],
         refuse: Callable[[int, str], tuple[list[tuple[bytes, bytes]], bytes]],
         log: decision_log.DecisionLog,
-        most: int | None = None,
+        max_connections: int | None = None,
     ):
         host, _, port = address.rpartition(":")
         self._limits = limits
         self._handle = handle
         self._refuse = refuse
         self._log = log
-        self._max_connections = most
+        self._max_connections = max_connections
         # In the order in which they were opened.
         self._conns: dict[caller_server.Connection, None] = {}
         self._server = server.StreamServer(
--- a/irisshelf/gateway/requests/placement.py
+++ b/irisshelf/gateway/requests/placement.py
@@ -202,7 +202,7 @@
     def _choose_suspect(
         self, verdict: crash_suspects.Verdict
     ) -> server_choice.Choice | Rejection | None:
-        placed = self._inst.crashes.place_suspect(
+        placed = self._inst.crash_tracker.place_suspect(
             self._job, verdict, self._sends.avoid
         )
         if placed.uncertain:
@@ -291,7 +291,7 @@
             and route.repeatable
             and self._sends.count < route.max_attempts
             and budget.remaining(self._inst.now()) >= 1
-            and not self._inst.crashes.verdict(self._job)
+            and not self._inst.crash_tracker.verdict(self._job)
         )
 
     def _connect_to_other(
--- a/irisshelf/gateway/requests/request_handler.py
+++ b/irisshelf/gateway/requests/request_handler.py
@@ -76,7 +76,7 @@
 
     def _run(self) -> str:
         while True:
-            verdict = self._inst.crashes.verdict(self._job)
+            verdict = self._inst.crash_tracker.verdict(self._job)
             if verdict and verdict.stage is crash_suspects.Stage.BARRED:
                 return self._reject_barred(verdict)
             selected = self._placement.next(verdict)
@@ -116,7 +116,7 @@
             fail_over=lambda: self._placement.fail_over(server, conn),
         ).run()
         self._record_observation(server, server_stats.Outcome.SUCCESS)
-        self._inst.crashes.record_success(self._job)
+        self._inst.crash_tracker.record_success(self._job)
         return "served"
 
     def _response_timeout_s(self, first: bool) -> float:
@@ -148,7 +148,7 @@
         crashed_server = (
             exc.disconnected
             and no_events
-            and self._inst.crashes.record_disconnect(self._job, server)
+            and self._inst.crash_tracker.record_disconnect(self._job, server)
         )
         if not exc.stale_connection:
             self._record_observation(server, exc.server_outcome, str(exc))
@@ -178,7 +178,7 @@
         caller how long further attempts will be rejected.
         """
         self._retry_after_s = verdict.barred_for_s
-        self._inst.crashes.record_refusal(self._job, verdict)
+        self._inst.crash_tracker.record_refusal(self._job, verdict)
         return self._give_up(send_history.SERVERS_CRASHED)
 
     def _give_up(self, why: str) -> str:
--- a/irisshelf/platform/stand_in/entry.py
+++ b/irisshelf/platform/stand_in/entry.py
@@ -44,7 +44,7 @@
         inst: Its state.
         listener: Its listener for callers.
         follower: What follows the store.
-        roster: The instances that it knows.
+        membership: The instances that it knows.
     """
 
     def __init__(
@@ -98,16 +98,16 @@
             address=self._datagrams.address,
             data_centre=data_centre,
         )
-        self.roster = membership.Membership(own=self.member)
+        self.membership = membership.Membership(own=self.member)
         self.crash_gossip = crash_gossip.CrashGossip(
-            crashes=self.inst.crashes,
+            crashes=self.inst.crash_tracker,
             datagrams=self._datagrams,
-            membership=self.roster,
+            membership=self.membership,
             log=log,
         )
         self._gossip = fact_gossip.FactGossip(
             datagrams=self._datagrams,
-            membership=self.roster,
+            membership=self.membership,
             on_fact=self.inst.servers.apply_fact,
             rng=random.Random(2),
         )
@@ -122,7 +122,7 @@
     def meet(self, others: Sequence[Entry]) -> None:
         """Makes other instances known to this one."""
         for other in others:
-            self.roster.record_alive(other.member, boottime.now())
+            self.membership.record_alive(other.member, boottime.now())
 
     def close(self) -> None:
         """Ends everything."""
--- a/irisshelf/testing/busy_service.py
+++ b/irisshelf/testing/busy_service.py
@@ -156,14 +156,14 @@
         load: Load,
         seed: int,
         admitting: bool,
-        told_s: float | None,
+        fixed_retry_after_s: float | None,
         heeding: bool,
     ):
         self._load = load
         self._heeding = heeding
         self._rng = random.Random(seed)
         self._admitting = admitting
-        self._told_s = told_s
+        self._fixed_retry_after_s = fixed_retry_after_s
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._now = 0.0
@@ -189,7 +189,7 @@
             )
             for number in range(load.instances)
         ]
-        self._books = [chooser.stats for chooser in self._choosers]
+        self._stats = [chooser.stats for chooser in self._choosers]
         self._gates = [
             overload.AdmissionControl() for _ in range(load.instances)
         ]
@@ -219,9 +219,9 @@
         return self._rng.expovariate(kind.per_s * self._load.factor(self._now))
 
     def _tell(self) -> None:
-        for book in self._books:
+        for stats in self._stats:
             for name, server in zip(self._names, self._servers, strict=True):
-                book.record_load_report(name, work=server.work, at_s=self._now)
+                stats.record_load_report(name, work=server.work, at_s=self._now)
         if self._now < self._load.length_s:
             self._after(_TELL_S, self._tell)
 
@@ -239,7 +239,7 @@
         self._choose(request)
 
     def _choose(self, request: _Request) -> None:
-        book = self._books[request.instance]
+        stats = self._stats[request.instance]
         known = self._known[request.instance]
         names = [n for n in self._names if not known.block(n, self._now)]
         if not names:
@@ -251,7 +251,7 @@
             return
         known.record_sent(name, self._now)
         request = dataclasses.replace(request, sent_s=self._now)
-        book.record_start(name, self._now)
+        stats.record_start(name, self._now)
         self._after(_WAY_S, lambda: self._reach(request, name))
 
     def _choice(self, instance: int, names: list[str]) -> server_choice.Choice:
@@ -270,7 +270,7 @@
     def _choice_by_ranking(
         self, instance: int, names: list[str]
     ) -> server_choice.Choice:
-        loads = self._books[instance].loads(names, self._now)
+        loads = self._stats[instance].loads(names, self._now)
         ranked = self._rng.choice(self._rankings)
         mean = sum(loads.values()) / len(loads)
         bound = server_choice.LOAD_FACTOR * mean + server_choice.LOAD_EXTRA
@@ -312,23 +312,27 @@
             if request.returning:
                 self._count(request, "served_at_return")
             return False
-        told_s = refusal.retry_after_s if self._told_s is None else self._told_s
+        retry_after_s = (
+            refusal.retry_after_s
+            if self._fixed_retry_after_s is None
+            else self._fixed_retry_after_s
+        )
         if not request.returning:
             self._count(request, "refused")
             if self._load.callers_return:
-                self._return(request, told_s)
+                self._return(request, retry_after_s)
         for seen in self._seen(request):
-            seen.retry_after_s.append(self._now + told_s)
+            seen.retry_after_s.append(self._now + retry_after_s)
         return True
 
-    def _return(self, request: _Request, told_s: float) -> None:
+    def _return(self, request: _Request, retry_after_s: float) -> None:
         again = dataclasses.replace(
             request,
             instance=self._rng.randrange(self._load.instances),
             returning=True,
         )
         self._count(request, "returned")
-        wait_s = min(told_s, request.kind.returns_within_s)
+        wait_s = min(retry_after_s, request.kind.returns_within_s)
         self._after(wait_s, lambda: self._choose(again))
 
     def _reach(self, request: _Request, name: str) -> None:
@@ -343,7 +347,7 @@
 
     def _turn_down(self, request: _Request, name: str, server: _Server) -> None:
         self._count(request, "turned_down")
-        self._books[request.instance].record_end(name, self._now)
+        self._stats[request.instance].record_end(name, self._now)
         if self._now >= server.rests_until_s:
             if not self._load.rests_when_full:
                 return
@@ -366,12 +370,12 @@
     def _start(self, server: _Server, name: str) -> None:
         while server.waiting and server.free:
             _, _, request = heapq.heappop(server.waiting)
-            book = self._books[request.instance]
-            book.record_load_report(name, work=server.work + 1, at_s=self._now)
+            stats = self._stats[request.instance]
+            stats.record_load_report(name, work=server.work + 1, at_s=self._now)
             waited_s = self._now - request.came_s
             if waited_s > request.kind.patience_s and not request.returning:
                 self._count(request, "left")
-                book.record_end(name, self._now)
+                stats.record_end(name, self._now)
                 continue
             known = self._known[request.instance]
             known.record_answer(name, request.sent_s)
@@ -387,9 +391,9 @@
     def _end(self, server: _Server, name: str, request: _Request) -> None:
         server.free += 1
         server.running -= 1
-        book = self._books[request.instance]
-        book.record_residence_time(self._now - request.sent_s)
-        book.record_end(name, self._now)
+        stats = self._stats[request.instance]
+        stats.record_residence_time(self._now - request.sent_s)
+        stats.record_end(name, self._now)
         self._gates[request.instance].record_service_time(request.kind.place_s)
         self._start(server, name)
 
@@ -442,7 +446,7 @@
     *,
     seed: int,
     admitting: bool = True,
-    told_s: float | None = None,
+    fixed_retry_after_s: float | None = None,
     heeding: bool = True,
 ) -> Outcome:
     """Plays a load from start to end.
@@ -451,13 +455,13 @@
         load: The load.
         seed: Of arrivals, teams and ties.
         admitting: Whether instances refuse early; if not, all is sent.
-        told_s: Refused callers are told to come back after so long, whatever
-            the instance would say.
+        fixed_retry_after_s: Refused callers retry after this time, whatever the
+            instance would say. None: as the instance says.
         heeding: Whether instances send nothing to servers that rest.
 
     Returns:
         What callers saw.
     """
-    run = _Play(load, seed, admitting, told_s, heeding)
+    run = _Play(load, seed, admitting, fixed_retry_after_s, heeding)
     run.run()
     return run.outcome()
--- a/irisshelf/testing/cold_fleet.py
+++ b/irisshelf/testing/cold_fleet.py
@@ -121,41 +121,45 @@
         self._rng = rng
         self.names = [f"n{number}" for number in range(count)]
         members = {n: _member(n) for n in self.names}
-        self._rosters = {
+        self._memberships = {
             name: membership_module.Membership(own=member)
             for name, member in members.items()
         }
         self._known = {
             name: local_membership.LocalMembership(
-                membership=self._rosters[name], alone=alone, began_s=_BEGAN_S
+                membership=self._memberships[name],
+                alone=alone,
+                began_s=_BEGAN_S,
             )
             for name in self.names
         }
         self._groups: list[frozenset[str]] = [frozenset(self.names)]
-        self._heard_s = -60.0
-        self.hear(-60.0, 0.0)
+        self._queried_s = -60.0
+        self.exchange_membership(-60.0, 0.0)
 
     def split(self, *groups: Sequence[str]) -> None:
-        """Instances hear of those of their own group from now on."""
+        """From now on, instances learn only of those of their own group."""
         self._groups = [frozenset(group) for group in groups]
 
     def start_anew(self, names: Sequence[str], now: float) -> None:
-        """Instances are killed and begin, knowing nobody."""
+        """Instances are killed and restart with an empty membership."""
         for name in names:
-            roster = membership_module.Membership(own=_member(name))
-            self._rosters[name] = roster
+            membership = membership_module.Membership(own=_member(name))
+            self._memberships[name] = membership
             self._known[name] = local_membership.LocalMembership(
-                membership=roster, alone=False, began_s=now
+                membership=membership, alone=False, began_s=now
             )
 
-    def hear(self, since_s: float, until_s: float) -> None:
-        """Instances hear of each other, as often as they ask."""
+    def exchange_membership(self, since_s: float, until_s: float) -> None:
+        """Instances learn of each other at each membership query."""
         now = since_s
         while now <= until_s:
             for group in self._groups:
                 for name in group:
                     for other in group - {name}:
-                        self._rosters[name].record_alive(_member(other), now)
+                        self._memberships[name].record_alive(
+                            _member(other), now
+                        )
                     self._known[name].names(now)
             now += _ANSWERS_EVERY_S
 
@@ -163,12 +167,12 @@
         """Plays the time that the server is cold, from second 0 on."""
         sent: list[float] = []
         asked = 0
-        now = heard_s = 0.0
+        now = queried_s = 0.0
         while now < load.cold_s:
             now += self._rng.expovariate(load.per_s)
-            if now - heard_s > _ANSWERS_EVERY_S:
-                self.hear(now, now)
-                heard_s = now
+            if now - queried_s > _ANSWERS_EVERY_S:
+                self.exchange_membership(now, now)
+                queried_s = now
             asked += 1
             name = self._rng.choice(self.names)
             if ways[name].admits(self._known[name].names(now), now):
--- a/irisshelf/tests/test_cold_start.py
+++ b/irisshelf/tests/test_cold_start.py
@@ -37,7 +37,7 @@
 def _half_split(fleet):
     half = len(fleet.names) // 2
     fleet.split(fleet.names[:half], fleet.names[half:])
-    fleet.hear(-30.0, 0.0)
+    fleet.exchange_membership(-30.0, 0.0)
 
 
 def _many_isolated_singly(fleet):
@@ -45,25 +45,25 @@
     third = len(fleet.names) // 3
     alone = [[name] for name in fleet.names[:third]]
     fleet.split(*alone, fleet.names[third:])
-    fleet.hear(-30.0, 0.0)
+    fleet.exchange_membership(-30.0, 0.0)
 
 
 def _all_started_a_moment_ago(fleet):
     fleet.start_anew(fleet.names, -0.5)
-    fleet.hear(-0.4, 0.0)
+    fleet.exchange_membership(-0.4, 0.0)
 
 
 def _most_started_a_moment_ago(fleet):
     most = fleet.names[: 2 * len(fleet.names) // 3]
     fleet.start_anew(most, -1.0)
-    fleet.hear(-0.9, 0.0)
+    fleet.exchange_membership(-0.9, 0.0)
 
 
 def _some_do_not_know_the_newest(fleet):
     """Half of the instances lack the others, which know all, in their lists."""
     half = fleet.names[: len(fleet.names) // 2]
     fleet.start_anew(half, -20.0)
-    fleet.hear(-20.0, 0.0)
+    fleet.exchange_membership(-20.0, 0.0)
     rest = fleet.names[len(fleet.names) // 2 :]
     fleet.split(fleet.names, rest)
 
--- a/irisshelf/tests/test_connection_limit.py
+++ b/irisshelf/tests/test_connection_limit.py
@@ -27,7 +27,7 @@
         handle=callers.handle,
         refuse=callers.refuse,
         log=world.inst.log,
-        most=_LIMIT,
+        max_connections=_LIMIT,
     )
     made.start()
     yield made
--- a/irisshelf/tests/test_crash_gossip.py
+++ b/irisshelf/tests/test_crash_gossip.py
@@ -30,7 +30,7 @@
 def _stages(fleet):
     now = boottime.now()
     return [
-        e.inst.crashes.suspects.judge(_FINGERPRINT, now).stage.value
+        e.inst.crash_tracker.suspects.judge(_FINGERPRINT, now).stage.value
         for e in fleet.entries
     ]
 
@@ -58,7 +58,7 @@
     world = make_world(servers=8, data_centres=("a", "b", "b", "b", "b", "b"))
     first, *others = world.entries
     for other in others[1:]:
-        first.roster.remove(other.member.name)
+        first.membership.remove(other.member.name)
     _crash_under(world, 1)
     world.wait(lambda: _stages(world) == ["suspect"] * 6)
 
@@ -90,7 +90,7 @@
     (busy,) = [one for one in fleet.plain if one.working]
     busy.crash()
     assert request.get().status == status
-    assert bool(fleet.inst.crashes.suspects) is blamed
+    assert bool(fleet.inst.crash_tracker.suspects) is blamed
 
 
 def test_a_response_at_one_instance_clears_the_request_at_all(fleet):
@@ -118,7 +118,7 @@
         one.always = fault
     for _ in range(4):
         fleet.ask("/alarm/1", body=_BODY, Deadline_Ms="150")
-    assert not any(e.inst.crashes.suspects for e in fleet.entries)
+    assert not any(e.inst.crash_tracker.suspects for e in fleet.entries)
 
 
 def test_the_end_of_a_leaving_server_is_no_crash(fleet):
@@ -132,16 +132,16 @@
     )
     server = fleet.inst.directory.servers_of("crew")[0]
     fleet.plain[0].close()
-    assert not fleet.inst.crashes.has_exited(server)
+    assert not fleet.inst.crash_tracker.has_exited(server)
 
 
 def test_a_server_may_crash_right_after_it_was_reached(fleet):
     """A reset by a live server, then its crash: it has to be probed again."""
     (one,) = fleet.plain[:1]
     server = fleet.inst.directory.get(one.server_id)
-    assert not fleet.inst.crashes.has_exited(server)
+    assert not fleet.inst.crash_tracker.has_exited(server)
     one.close()
-    assert fleet.inst.crashes.has_exited(server)
+    assert fleet.inst.crash_tracker.has_exited(server)
 
 
 def test_a_stream_in_progress_is_not_blamed(fleet):
@@ -154,7 +154,7 @@
     (busy,) = [one for one in fleet.engines if one.working]
     busy.crash()
     assert not request.get().whole
-    assert not fleet.inst.crashes.suspects
+    assert not fleet.inst.crash_tracker.suspects
 
 
 @pytest.mark.parametrize("crashed", [0, 2, 3])
@@ -167,13 +167,13 @@
             server_key=directory.short_id(one.server_id),
             at_s=boottime.now(),
         )
-        fleet.inst.crashes.receive_crash(_FINGERPRINT, crash)
+        fleet.inst.crash_tracker.receive_crash(_FINGERPRINT, crash)
     unknown = crash_suspects.ServerCrash(
         server_key=b"stray", at_s=boottime.now()
     )
-    fleet.inst.crashes.receive_crash(_FINGERPRINT, unknown)
+    fleet.inst.crash_tracker.receive_crash(_FINGERPRINT, unknown)
     now = boottime.now()
-    verdict = fleet.inst.crashes.suspects.judge(_FINGERPRINT, now)
+    verdict = fleet.inst.crash_tracker.suspects.judge(_FINGERPRINT, now)
     assert len(verdict.crashes) == crashed
 
 
@@ -184,7 +184,7 @@
     crash = crash_suspects.ServerCrash(
         server_key=directory.short_id(gone.server_id), at_s=boottime.now()
     )
-    fleet.inst.crashes.receive_crash(_FINGERPRINT, crash)
+    fleet.inst.crash_tracker.receive_crash(_FINGERPRINT, crash)
     assert _stages(fleet)[0] == "suspect"
 
 
@@ -208,7 +208,7 @@
 def test_an_invalid_snapshot_is_ignored(fleet, data):
     entry = fleet.entries[0]
     entry.crash_gossip.catch_up(lambda: data)
-    assert not entry.inst.crashes.suspects
+    assert not entry.inst.crash_tracker.suspects
 
 
 def test_all_instances_send_a_suspect_to_the_same_server(fleet):
--- a/irisshelf/tests/test_crashing_requests.py
+++ b/irisshelf/tests/test_crashing_requests.py
@@ -99,7 +99,7 @@
 def _next_server(world, crashed):
     """Returns the server that the only suspect request is sent to next."""
     group = world.engines if crashed[0] in world.engines else world.plain
-    (content,) = world.inst.crashes.suspects.snapshot(boottime.now())
+    (content,) = world.inst.crash_tracker.suspects.snapshot(boottime.now())
     by_id = {one.server_id: one for one in group}
     names = [one.server_id for one in group if one not in crashed]
     return by_id[crash_suspects.designate_server(content, names).server]
--- a/irisshelf/tests/test_deploy.py
+++ b/irisshelf/tests/test_deploy.py
@@ -103,11 +103,13 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "strict"), [(True, True), (False, False), (None, False)]
+    ("revoke_strict", "strict"), [(True, True), (False, False), (None, False)]
 )
-def test_the_operators_say_whether_withdrawn_keys_are_strict(told, strict):
+def test_the_operators_say_whether_withdrawn_keys_are_strict(
+    revoke_strict, strict
+):
     text = (_DEPLOY / "settings.json.tmpl").read_text()
-    bounds = _FIELDS["bounds"] | {"revokeStrict": told}
+    bounds = _FIELDS["bounds"] | {"revokeStrict": revoke_strict}
     filled = _render(text, _FIELDS | {"bounds": bounds})
     assert (
         settings.decode(filled.encode()).unwrap().bounds.keys_strict is strict
--- a/irisshelf/tests/test_overload.py
+++ b/irisshelf/tests/test_overload.py
@@ -138,7 +138,9 @@
 def test_retries_at_the_scheduled_time_succeed_more_often_than_at_once(seed):
     load = _load(_burst, callers_return=True)
     scheduled = busy_service.play(load, seed=seed).by_kind["chat"]
-    immediate = busy_service.play(load, seed=seed, told_s=0.1).by_kind["chat"]
+    immediate = busy_service.play(
+        load, seed=seed, fixed_retry_after_s=0.1
+    ).by_kind["chat"]
     served, served_immediate = (
         seen.served_at_return / seen.returned for seen in (scheduled, immediate)
     )
--- a/irisshelf/tests/test_retry_budget.py
+++ b/irisshelf/tests/test_retry_budget.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "now", "count"),
+    ("reported", "now", "count"),
     [
         ([], 0.0, None),
         ([(0.0, 1)], 1.0, None),
@@ -69,9 +69,11 @@
         ([(0.0, 9), (1.0, 5), (2.0, 7)], 61.5, 7),
     ],
 )
-def test_fleet_size_is_the_largest_count_of_the_last_minute(heard, now, count):
+def test_fleet_size_is_the_largest_count_of_the_last_minute(
+    reported, now, count
+):
     size = fleet_size.FleetSize(alone=False)
-    for at_s, instances in heard:
+    for at_s, instances in reported:
         size.record(instances, at_s)
     assert size.estimate(now) == count
 
--- a/irisshelf/tests/test_system_suspend.py
+++ b/irisshelf/tests/test_system_suspend.py
@@ -183,6 +183,6 @@
     make_world, suspend, suspended_s, known
 ):
     world = make_world(bounds=_LENIENT, data_centres=("a", "a"))
-    membership = world.entries[0].roster
+    membership = world.entries[0].membership
     suspend(suspended_s)
     assert len(membership.members("a", world.inst.now())) == known
